--- a/benchmarks/hour.py
+++ b/benchmarks/hour.py
@@ -58,12 +58,12 @@
 
 
 def changed(folder):
-    """A copy of this package whose module has one other figure: patience 5 has become 4."""
+    """A copy of this package whose module has one other figure: run_limit 5 has become 4."""
     root = folder / "changed"
     shutil.copytree(PACKAGE, root / "gingergap", ignore=shutil.ignore_patterns("__pycache__"))
-    path = root / "gingergap" / "brain.py"
+    path = root / "gingergap" / "call_controller.py"
     text = path.read_text()
-    path.write_text(text.replace("patience: int = 5", "patience: int = 4"))
+    path.write_text(text.replace("run_limit: int = 5", "run_limit: int = 4"))
     assert path.read_text() != text
     return root
 
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -20,7 +20,7 @@
 import psutil
 import structlog
 
-from gingergap.brain import CallController
+from gingergap.call_controller import CallController
 from gingergap.edge.serve import clock, proxy_of
 from gingergap.settings.edge import EdgeForm
 from gingergap.settings.forms import parse
--- a/benchmarks/validation.py
+++ b/benchmarks/validation.py
@@ -15,7 +15,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 
-from gingergap.brain import CallController
+from gingergap.call_controller import CallController
 from gingergap.emulator.day import Day
 from gingergap.emulator.versions import figures_of
 from gingergap.settings.day import DayForm
--- a/gingergap/benchlink/proxy.py
+++ b/gingergap/benchlink/proxy.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..brain import CallController
+from ..call_controller import CallController
 from ..facts import UNIT, Facts, at_most, circuits_in, controller_facts, gw_state, rsn_of
 from ..host import LegEnd, ListEntry
 from .codec import BadLineError, encode
@@ -52,7 +52,7 @@
         self.tells_wait = start.part("Specifics").get("GivesWait", bool, False)
         here, proxies, types, figures = controller_facts(start)
         self.controller = make(self, seed, here, proxies, types, **figures)
-        self.controller.begin(now_us // UNIT)
+        self.controller.start(now_us // UNIT)
 
     # --- what the controller asks for ---
 
@@ -71,10 +71,10 @@
         self._act("Abort", Rid=self.rid_of[dialog])
         self._ended(dialog)
 
-    def wake_after(self, delay: int) -> None:
+    def schedule_tick(self, delay: int) -> None:
         self._act("Remind", FromNow=delay * UNIT, Cookie="beat")
 
-    def tell_all(self, told: bytes) -> None:
+    def send_to_peers(self, told: bytes) -> None:
         self._act("Say", To=-1, Bytes=told.hex())
 
     def subscribe(self) -> None:
@@ -90,30 +90,30 @@
             case "Headers":
                 dialog = self.dialog_of.get(msg["Rid"])
                 if dialog is not None:
-                    self.controller.dialog_stands(now, dialog, at_most(msg.get("TimeTaken") or 0))
+                    self.controller.dialog_established(now, dialog, at_most(msg.get("TimeTaken") or 0))
             case "Result":
                 self._result(msg, now)
             case "CancelledByClient":
                 dialog = self.dialog_of.get(msg["Rid"])
                 if dialog is not None:
-                    self.controller.dialog_gone(now, dialog)
+                    self.controller.dialog_cancelled(now, dialog)
                     self._ended(dialog)
             case "Message":
-                self.controller.peer_told(now, _hex(msg["Bytes"]))
+                self.controller.peer_report_received(now, _hex(msg["Bytes"]))
             case "Elapsed":
-                self.controller.beat(now)
+                self.controller.tick(now)
             case "ProbeResult":
                 gw = self._gw(msg["Switch"])
                 free, size = self._stats(msg)
                 if size >= 0:
-                    self.controller.group_told(now, gw, free, size)
+                    self.controller.trunk_group_reported(now, gw, free, size)
             case "BackendsChanged" if msg["Kind"] == 3:
-                self.controller.list_failed(now)
+                self.controller.exchange_list_failed(now)
             case "BackendsChanged":
                 entries = lists.get(msg.get("SetId"))
                 if entries is None:
                     raise BadLineError("field SetId names no list that has come")
-                self.controller.list_pushed(now, [self._entry(entry) for entry in entries], msg["Kind"] != 0)
+                self.controller.exchange_list_received(now, [self._entry(entry) for entry in entries], msg["Kind"] != 0)
 
     def _knock(self, msg: dict[str, Any], now: int) -> None:
         dialog = self.dialogs
@@ -123,9 +123,9 @@
         self.legs_out[dialog] = 0
         marks = msg.get("Bitmap") or 0
         kind = msg.get("Class") or 0
-        if not 0 <= kind < len(self.controller.types):
+        if not 0 <= kind < len(self.controller.traffic_types):
             raise BadLineError("field Class names no class")
-        self.controller.dialog_came(
+        self.controller.dialog_received(
             now,
             dialog,
             kind,
--- a/gingergap/cli/main.py
+++ b/gingergap/cli/main.py
@@ -288,7 +288,12 @@
 @main.command("emulate")
 @click.argument("file", type=FILE)
 @click.option("--seed", "seeds", type=int, multiple=True, help="Draws of the day; the file's own where left out. May be repeated.")
-@click.option("--policy", default="module", show_default=True, help="module, direct, random tandem, reservation, or a brain.py.")
+@click.option(
+    "--policy",
+    default="module",
+    show_default=True,
+    help="module, direct, random tandem, reservation, or a version of call_controller.py.",
+)
 @click.option("--exchanges", type=click.IntRange(2, 2_000), default=None, help="As many exchanges instead of the file's.")
 @click.option("--json", "as_json", is_flag=True, help="A JSON object a line.")
 def emulate(file: Path, seeds: tuple[int, ...], policy: str, exchanges: int | None, as_json: bool) -> None:
--- a/gingergap/cli/trace.py
+++ b/gingergap/cli/trace.py
@@ -191,7 +191,7 @@
 
 @trace.command("replay")
 @FILES
-@click.option("--module", type=FILE, default=None, help="Another version of brain.py: count where it decides otherwise.")
+@click.option("--module", type=FILE, default=None, help="Another version of call_controller.py: count where it decides otherwise.")
 def replay_(files: tuple[Path, ...], module: Path | None) -> None:
     """Feed the events to this program's module and compare each decision: exit 0 with all alike, 1 with a difference."""
     import time
--- a/gingergap/edge/circuits.py
+++ b/gingergap/edge/circuits.py
@@ -1,7 +1,7 @@
 """What a proxy knows of its own trunk groups: the exchange's last word, less own legs that it can't have seen.
 
 Counts come late by the way of a message. A leg sent since the exchange looked is not in its count yet, and
-taken at its word a burst would send several dialogs for the last circuit. Decisions on circuits stay in brain.py;
+taken at its word a burst would send several dialogs for the last circuit. Decisions on circuits stay in call_controller.py;
 here is only what the count is.
 """
 
--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -1,7 +1,7 @@
 """Joins membership, duties and the background scheduler to one running proxy.
 
 Off unless the settings have a `(coordination ...)` part. Nothing here is a decision on calls: what duties bring is kept
-beside the module with its age (`learned`), shown to operators, and never reaches brain.py.
+beside the module with its age (`learned`), shown to operators, and never reaches call_controller.py.
 """
 
 import secrets
--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -1,4 +1,4 @@
-"""The signalling proxy without sockets: a stateful proxy (RFC 3261 section 16) whose ways are chosen by brain.py.
+"""The signalling proxy without sockets: a stateful proxy (RFC 3261 section 16) whose ways are chosen by call_controller.py.
 
 Everything that happens comes in through one of the public methods with the time now, one at a time; nothing in here
 waits. It is the `User` of the transactions and the `Host` of one `CallController`.
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from ..brain import CallController
+from ..call_controller import CallController
 from ..host import GwState, LegEnd, ListEntry, Rsn, TrafficType
 from ..sip.dialogs import next_hop, release_of
 from ..sip.fields import address_of, host_port, seconds_of, tag_of, top_via, uri_of, via_of
@@ -21,6 +21,7 @@
 from ..store.audit import Audit
 from ..store.memory import Memory, Recalled, Word
 from ..store.records import KeptStanding
+from ..trace.stored_names import stored_arguments
 from ..trace.tape import Tape, answer_to, crossing, recorded
 from . import words
 from .calls import Asked, Call, Leg, NoServer, Onward
@@ -157,19 +158,19 @@
         self.subscribers = {LIST: Subscriber(LIST, 60 * SECOND), GROUPS: Subscriber(GROUPS, 20 * SECOND)}
         figures = {
             "release_guard": release_guard,
-            "most_legs": most_legs,
-            "longest_hold_off": longest_hold_off,
-            "may_cancel": True,
-            "must_ask": exchange_list is not None,
-            "may_tell": tells,
-            "centre_advises": False,
-            "cold_from": cold_from,
+            "max_legs": most_legs,
+            "max_hold_off": longest_hold_off,
+            "can_cancel_legs": True,
+            "must_subscribe": exchange_list is not None,
+            "can_message_peers": tells,
+            "has_route_advice": False,
+            "cold_share": cold_from,
             "warm_after": warm_after,
-            "multiple": multiple,
-            "fall_span": fall_span,
+            "overload_factor": multiple,
+            "overload_span": fall_span,
         }
         self.figures = {
-            **figures,
+            **stored_arguments(figures),
             "seed": seed,
             "here": here,
             "proxies": len(exchanges),
@@ -186,10 +187,10 @@
             if memory is not None:
                 memory.known(name, number, f"{host}:{port}", "UDP")
             known.append(ListEntry(gw, number, GwState.READY, 0))
-        self.controller.list_pushed(now, known, True)
+        self.controller.exchange_list_received(now, known, True)
         if recalled is not None:
             self._recall(now, recalled)
-        self.controller.begin(now)
+        self.controller.start(now)
         self._subscribe(now, self.subscribers[GROUPS], self.subscribers[GROUPS].watching.want(now))
 
     # --- what can happen: messages ---------------------------------------------------------------------
@@ -231,7 +232,7 @@
         self._settle(now)
         if self.wake_at is not None and now >= self.wake_at:
             self.wake_at = None
-            self.controller.beat(now)
+            self.controller.tick(now)
             self._settle(now)
         if now >= self.sweep_at:
             self.sweep_at = now + SWEEP
@@ -388,7 +389,9 @@
         self.open_dialogs += 1
         self._count("dialogs")
         self.transactions.respond(now, server, response(message, 100))
-        self.controller.dialog_came(now, call.index, kind, far, call.width, number, expires, told.transit, told.redialled, told.cut)
+        self.controller.dialog_received(
+            now, call.index, kind, far, call.width, number, expires, told.transit, told.redialled, told.cut
+        )
 
     def _cancelled(self, now: int, server: Server, message: Message) -> None:
         branch, sent_by, _ = server.key
@@ -404,7 +407,7 @@
             # Answered at once: a leg that is out is called off, and should its 2xx cross the CANCEL, released.
             self._final(now, owner, 487, [])
             self._count("given up by callers")
-            self.controller.dialog_gone(now, owner.index)
+            self.controller.dialog_cancelled(now, owner.index)
             if owner.leg is not None:
                 self._give_up(now, owner.leg, LegEnd.CANCELLED)
             else:
@@ -454,13 +457,13 @@
         if call.leg is None:
             self._forget(call)
 
-    def wake_after(self, delay: int) -> None:
+    def schedule_tick(self, delay: int) -> None:
         self.wake_at = self.now + delay
 
-    def tell_all(self, told: bytes) -> None:
+    def send_to_peers(self, told: bytes) -> None:
         for gw, number in enumerate(self.numbers):
             hop = self.hops[gw]
-            ex = self.controller.by_number.get(number)
+            ex = self.controller.exchange_by_number.get(number)
             if (
                 number == self.here
                 or hop is None
@@ -545,7 +548,7 @@
                 self._note("came", answer_to(leg.crossing), call.index)
             if call.crossing:
                 self._note("sent", answer_to(call.crossing), call.index)
-            self.controller.dialog_stands(now, call.index, now - leg.started)
+            self.controller.dialog_established(now, call.index, now - leg.started)
             return
         if not leg.over:
             self.soon.append((leg, *words.leg_end(message, leg.far != call.far)))
@@ -679,7 +682,7 @@
             self.log.warning("subscription-failed", event_package=sub.event)
             self._count("subscriptions failed")
             if sub.event == LIST:
-                self.controller.list_failed(now)
+                self.controller.exchange_list_failed(now)
             else:
                 sub.again_at = now + SECOND
             return
@@ -707,7 +710,7 @@
     def _notifier(self, sub: Subscriber) -> Hop | None:
         if sub.event == LIST:
             return None if self.list_at is None else Hop("UDP", *self.list_at)
-        ex = self.controller.by_number.get(self.here)
+        ex = self.controller.exchange_by_number.get(self.here)
         hop = self.hops[ex.gw] if ex is not None else None
         return None if hop is None else Hop("UDP", hop.host, hop.port)
 
@@ -783,18 +786,18 @@
                     ),
                 )
             entries.append(ListEntry(gw, line.number, state, self._start(now, gw, line.started)))
-        self.controller.list_pushed(now, entries, body.state == "full")
+        self.controller.exchange_list_received(now, entries, body.state == "full")
         self._settle(now)
         for gw, number in enumerate(self.numbers):  # a machine that took a number over has its groups too
             free, size = self.circuits.count(number)
             if size >= 0:
-                self.controller.group_told(now, gw, free, size)
+                self.controller.trunk_group_reported(now, gw, free, size)
         if self._own_exchange() != own:  # a machine that has just started knows of no subscription
             groups = self.subscribers[GROUPS]
             self._subscribe(now, groups, groups.watching.want(now))
 
     def _own_exchange(self) -> tuple[int, int]:
-        ex = self.controller.by_number.get(self.here)
+        ex = self.controller.exchange_by_number.get(self.here)
         return (-1, 0) if ex is None else (ex.gw, ex.started)
 
     def _start(self, now: int, gw: int, started: float) -> int:
@@ -816,15 +819,15 @@
             self._count("remembered dialogs that were over")
             self.forget_standing(now, dialog)
         for gw, held in enumerate(self.numbers):
-            if held == number and gw in self.controller.gws:
-                self.controller.group_told(now, gw, free, size)
+            if held == number and gw in self.controller.exchanges:
+                self.controller.trunk_group_reported(now, gw, free, size)
 
     def _told(self, now: int, server: Server, message: Message) -> None:
         """Another proxy's word; one that is too short says nothing."""
         self._answer(now, server, 200)
         if len(message.body) >= 3:
             self._note("came", crossing(message.call_id), -1)
-            self.controller.peer_told(now, message.body)
+            self.controller.peer_report_received(now, message.body)
 
     # --- memory over restarts --------------------------------------------------------------------------------
 
@@ -839,7 +842,7 @@
                 self.hops[gw] = Hop(word.transport, *host_port(word.address))
             state = GwState(word.state) if self.hops[gw] is not None else GwState.GONE
             entries.append(ListEntry(gw, word.number, state, self._start(now, gw, word.started)))
-        self.controller.list_pushed(now, entries, False)
+        self.controller.exchange_list_received(now, entries, False)
         gws = [self.gws.get(id_, -1) for id_ in recalled.ids]
         learned = recalled.learned._replace(
             now=now,
@@ -852,7 +855,7 @@
             ],
             pairs=[pair._replace(gw=gws[pair.gw]) for pair in recalled.learned.pairs if gws[pair.gw] >= 0],
         )
-        self.controller.recall(now, learned, recalled.age)
+        self.controller.restore(now, learned, recalled.age)
         for (call_id, tag), kept in recalled.standing.items():
             self._stands_still(now, (call_id, tag), kept)
 
@@ -885,7 +888,7 @@
 
     def learned(self, now: int, most_callers: int) -> None:
         """Tell the memory what the module knows."""
-        self.memory.learned(self._wall(now), self.controller.learned(now, most_callers), self.ids)
+        self.memory.learned(self._wall(now), self.controller.export_learned(now, most_callers), self.ids)
         self.memory.forgotten(self._wall(now))
 
     def _wall(self, now: int) -> float:
--- a/gingergap/edge/serve.py
+++ b/gingergap/edge/serve.py
@@ -396,7 +396,7 @@
     def _exchanges(self) -> list[dict[str, Any]]:
         now, rows = clock(), []
         for gw, name in enumerate(self.proxy.ids):
-            ex = self.proxy.controller.gws.get(gw)
+            ex = self.proxy.controller.exchanges.get(gw)
             if ex is not None:
                 rows.append(
                     {
@@ -405,10 +405,10 @@
                         "ready": ex.ready,
                         "free": ex.group.free,
                         "circuits": ex.group.size,
-                        "expected_ms": ex.expected(now) / 10,
-                        "legs_out": len(ex.out),
+                        "expected_ms": ex.expected_setup(now) / 10,
+                        "legs_out": len(ex.legs_out),
                         "cold": now < ex.cold_until,
-                        "pressed": now < ex.pressed_until,
+                        "pressed": now < ex.overloaded_until,
                     }
                 )
         return rows
--- a/gingergap/emulator/day.py
+++ b/gingergap/emulator/day.py
@@ -9,7 +9,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from ..brain import CallController
+from ..call_controller import CallController
 from ..host import GwState, LegEnd, Rsn, TrafficType
 from ..settings.day import DayForm
 from ..standins.script import LONG_AGO, NEVER, Plan
@@ -599,7 +599,7 @@
 
     def _tell_group(self, here: int, number: int, free: int, size: int) -> None:
         proxy = self.proxies[here]
-        self.engine.after(HOP, self._if_running, proxy, proxy.group_told, number, free, size)
+        self.engine.after(HOP, self._if_running, proxy, proxy.trunk_group_reported, number, free, size)
 
     def _parted(self, a: int, b: int) -> bool:
         return self.cuts_off and self.plan.cut_off(a, b, self.engine.now / SECOND)
--- a/gingergap/emulator/policies.py
+++ b/gingergap/emulator/policies.py
@@ -18,16 +18,16 @@
         self.host, self.here, self.types = host, here, types
         self.tandems, self.reserved = tandems, reserved
         self.draw = Random(seed)
-        self.gws: dict[int, int] = {}  # known far ends
+        self.exchanges: dict[int, int] = {}  # known far ends
         self.states: dict[int, GwState] = {}
         self.by_number: dict[int, int] = {}
         self.started: dict[int, int] = {}
         self.groups: dict[int, tuple[int, int]] = {}
         self.dialogs: dict[int, list[Any]] = {}  # far, width, transit, expires, numbers still to be tried
 
-    def list_pushed(self, now: int, entries: list[ListEntry], whole: bool) -> None:
+    def exchange_list_received(self, now: int, entries: list[ListEntry], whole: bool) -> None:
         for entry in entries:
-            self.gws[entry.gw] = entry.number
+            self.exchanges[entry.gw] = entry.number
             self.states[entry.gw] = entry.state
             self.started[entry.gw] = max(entry.started, self.started.get(entry.gw, 0))
             held = self.by_number.get(entry.number)
@@ -39,23 +39,23 @@
             ):
                 self.by_number[entry.number] = entry.gw
 
-    def begin(self, now: int) -> None:
-        self.host.wake_after(200)
+    def start(self, now: int) -> None:
+        self.host.schedule_tick(200)
 
-    def beat(self, now: int) -> None:
+    def tick(self, now: int) -> None:
         for dialog, (_, _, _, expires, _) in list(self.dialogs.items()):
             if now >= expires and dialog in self.dialogs:
                 del self.dialogs[dialog]
                 self.host.abort(dialog)
-        self.host.wake_after(200)
+        self.host.schedule_tick(200)
 
-    def peer_told(self, now: int, told: bytes) -> None:
+    def peer_report_received(self, now: int, told: bytes) -> None:
         pass
 
-    def group_told(self, now: int, gw: int, free: int, size: int) -> None:
+    def trunk_group_reported(self, now: int, gw: int, free: int, size: int) -> None:
         self.groups[gw] = free, size
 
-    def dialog_came(
+    def dialog_received(
         self,
         now: int,
         dialog: int,
@@ -74,7 +74,7 @@
         self.dialogs[dialog] = [far, width, transit, now + expires_in - 400, ways]
         self._next(now, dialog)
 
-    def dialog_stands(self, now: int, dialog: int, took: int) -> None:
+    def dialog_established(self, now: int, dialog: int, took: int) -> None:
         self.dialogs.pop(dialog, None)
 
     def leg_ended(self, now: int, dialog: int, gw: int, how: LegEnd, rsn: int, over: bool, free: int, size: int) -> None:
@@ -89,7 +89,7 @@
                 del self.dialogs[dialog]
                 self.host.decline(dialog, 0)
 
-    def dialog_gone(self, now: int, dialog: int) -> None:
+    def dialog_cancelled(self, now: int, dialog: int) -> None:
         self.dialogs.pop(dialog, None)
 
     def _next(self, now: int, dialog: int) -> None:
--- a/gingergap/emulator/proxies.py
+++ b/gingergap/emulator/proxies.py
@@ -103,19 +103,19 @@
         self.controller = self.make(self)
         entries = [ListEntry(self._gw(name, number), number, GwState.READY, 0) for name, number in self.first]
         now = self.engine.now
-        self.controller.list_pushed(now, entries, True)
+        self.controller.exchange_list_received(now, entries, True)
         if self.kept is not None:
             self._recall(now, *self.kept)
-        self.controller.begin(now)
+        self.controller.start(now)
 
     def _recall(self, now: int, learned: Learned, ids: list[str], words: dict[str, ListEntry]) -> None:
         """What the process before knew, under the indices of this one."""
         for name, word in words.items():
             if word.state != GwState.GONE or name in self.gws:
-                self.controller.list_pushed(now, [word._replace(gw=self._gw(name, word.number))], False)
+                self.controller.exchange_list_received(now, [word._replace(gw=self._gw(name, word.number))], False)
                 self.rules.word(now, self.here, name, word.state)
         gws = [self.gws.get(name, -1) for name in ids]
-        self.controller.recall(
+        self.controller.restore(
             now,
             learned._replace(
                 exchanges=[known._replace(gw=gws[known.gw]) for known in learned.exchanges if gws[known.gw] >= 0],
@@ -127,8 +127,8 @@
     def kill(self) -> None:
         if not self.running:
             return
-        if self.remembers and hasattr(self.controller, "learned"):  # baselines know nothing worth keeping
-            self.kept = self.controller.learned(self.engine.now, 100_000), list(self.ids), dict(self.words)
+        if self.remembers and hasattr(self.controller, "export_learned"):  # baselines know nothing worth keeping
+            self.kept = self.controller.export_learned(self.engine.now, 100_000), list(self.ids), dict(self.words)
         self.running = False
         self.life += 1
         self.rules.lost(self.here)
@@ -166,7 +166,7 @@
         self.dialogs += 1
         self.calls[call.index] = call
         self.rules.came(now, self.here, call.index, expires_in)
-        self.controller.dialog_came(now, call.index, kind, far, width, number, expires_in, transit, redialled, cut)
+        self.controller.dialog_received(now, call.index, kind, far, width, number, expires_in, transit, redialled, cut)
         self._settle()
         return call
 
@@ -175,7 +175,7 @@
         if call.answered or call.index not in self.calls:
             return
         self._final(call)
-        self.controller.dialog_gone(self.engine.now, call.index)
+        self.controller.dialog_cancelled(self.engine.now, call.index)
         if call.leg is not None:
             self._give_up(call.leg, LegEnd.CANCELLED)
         else:
@@ -191,7 +191,7 @@
         call.stands = True
         self._final(call)
         call.told(200, 0, 0)
-        self.controller.dialog_stands(self.engine.now, call.index, self.engine.now - leg.sent)
+        self.controller.dialog_established(self.engine.now, call.index, self.engine.now - leg.sent)
         self._settle()
         return True
 
@@ -210,19 +210,19 @@
             self.rules.word(now, self.here, name, state)
             entries.append(ListEntry(self._gw(name, number), number, state, started))
             self.words[name] = entries[-1]
-        self.controller.list_pushed(now, entries, False)
+        self.controller.exchange_list_received(now, entries, False)
         for number in {number for _, number, _, _ in lines}:
             free, size = self.circuits.count(number)
             if size >= 0:
                 self._group(number, free, size)
         self._settle()
 
-    def group_told(self, number: int, free: int, size: int) -> None:
+    def trunk_group_reported(self, number: int, free: int, size: int) -> None:
         self._group(number, *self.circuits.told(number, free, size))
         self._settle()
 
     def heard(self, told: bytes) -> None:
-        self.controller.peer_told(self.engine.now, told)
+        self.controller.peer_report_received(self.engine.now, told)
 
     # --- what the controller asks for ---
 
@@ -258,10 +258,10 @@
         if call.leg is None:
             self._forget(call)
 
-    def wake_after(self, delay: int) -> None:
+    def schedule_tick(self, delay: int) -> None:
         self.engine.after(delay, self._beat, self.life)
 
-    def tell_all(self, told: bytes) -> None:
+    def send_to_peers(self, told: bytes) -> None:
         self.network.say(self, told)
 
     def subscribe(self) -> None:
@@ -275,7 +275,7 @@
         if self.engine.now < self.paused_until:
             self.engine.at(self.paused_until, self._beat, life)
             return
-        self.controller.beat(self.engine.now)
+        self.controller.tick(self.engine.now)
         self._settle()
 
     def _limit(self, leg: Leg) -> None:
@@ -333,8 +333,8 @@
 
     def _group(self, number: int, free: int, size: int) -> None:
         for gw, held in enumerate(self.numbers):
-            if held == number and gw in self.controller.gws:
-                self.controller.group_told(self.engine.now, gw, free, size)
+            if held == number and gw in self.controller.exchanges:
+                self.controller.trunk_group_reported(self.engine.now, gw, free, size)
 
     def _gw(self, name: str, number: int) -> int:
         gw = self.gws.get(name)
--- a/gingergap/emulator/versions.py
+++ b/gingergap/emulator/versions.py
@@ -37,14 +37,14 @@
     cold = form.cold
     return {
         "release_guard": round(form.release_guard_ms * 10) + 1,
-        "most_legs": form.most_legs,
-        "longest_hold_off": round(form.longest_hold_off_ms * 10),
-        "may_cancel": True,
-        "must_ask": False,
-        "may_tell": form.tell_peers,
-        "centre_advises": False,
-        "cold_from": cold.from_share,
+        "max_legs": form.most_legs,
+        "max_hold_off": round(form.longest_hold_off_ms * 10),
+        "can_cancel_legs": True,
+        "must_subscribe": False,
+        "can_message_peers": form.tell_peers,
+        "has_route_advice": False,
+        "cold_share": cold.from_share,
         "warm_after": round(cold.warm_after_ms * 10) + 1,
-        "multiple": cold.multiple,
-        "fall_span": round(cold.span_ms * 10) + 1,
+        "overload_factor": cold.multiple,
+        "overload_span": round(cold.span_ms * 10) + 1,
     }
--- a/gingergap/experiments/runner.py
+++ b/gingergap/experiments/runner.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from .. import brain
+from .. import call_controller
 from ..emulator.day import Day
 from ..emulator.versions import UnknownPolicyError, maker
 from ..settings.day import DayForm
@@ -21,7 +21,7 @@
     """What `maker` is told for a policy; the module with its changes goes into a file. Raises BadExperimentError."""
     if not policy.change:
         return policy.module or policy.base
-    text = Path(policy.module or brain.__file__).read_text()
+    text = Path(policy.module or call_controller.__file__).read_text()
     for change in policy.change:
         if text.count(change.old) != 1:
             raise BadExperimentError(f"policy {policy.name!r}: {change.old!r} stands {text.count(change.old)} times in the module")
--- a/gingergap/facts.py
+++ b/gingergap/facts.py
@@ -90,18 +90,16 @@
         traffic_types(start, family),
         {
             "release_guard": at_least(family.get("Guard", NUMBER, 0)),
-            "most_legs": ceilings.get("MostTries", int, 1),
-            "longest_hold_off": (
-                at_most(ceilings.get("MaxRetryAfter", NUMBER, 0)) if ceilings.get("RetryAfter", bool, False) else 0
-            ),
-            "may_cancel": ceilings.get("Cancelling", bool, False),
-            "may_tell": ceilings.get("PeerMessages", bool, False),
-            "centre_advises": family.get("RouteAdvice", bool, False),
-            "must_ask": start.get("MembershipMode", str, "push") == "ask",
-            "cold_from": float(rules.get("ColdFrom", NUMBER, 1.0)),
+            "max_legs": ceilings.get("MostTries", int, 1),
+            "max_hold_off": (at_most(ceilings.get("MaxRetryAfter", NUMBER, 0)) if ceilings.get("RetryAfter", bool, False) else 0),
+            "can_cancel_legs": ceilings.get("Cancelling", bool, False),
+            "can_message_peers": ceilings.get("PeerMessages", bool, False),
+            "has_route_advice": family.get("RouteAdvice", bool, False),
+            "must_subscribe": start.get("MembershipMode", str, "push") == "ask",
+            "cold_share": float(rules.get("ColdFrom", NUMBER, 1.0)),
             "warm_after": at_least(rules.get("WarmAfter", NUMBER, 0)),
-            "multiple": float(rules.get("OverloadFactor", NUMBER, 1.0)),
-            "fall_span": at_least(rules.get("Fall", NUMBER, 0)),
+            "overload_factor": float(rules.get("OverloadFactor", NUMBER, 1.0)),
+            "overload_span": at_least(rules.get("Fall", NUMBER, 0)),
         },
     )
 
--- a/gingergap/membership/__init__.py
+++ b/gingergap/membership/__init__.py
@@ -1,2 +1,2 @@
 """Who is there: proxies that may coordinate find each other and notice who is gone. Decisions without I/O, and a
-datagram transport on gevent. Nothing in brain.py leans on it."""
+datagram transport on gevent. Nothing in call_controller.py leans on it."""
--- a/gingergap/service/calls.py
+++ b/gingergap/service/calls.py
@@ -12,7 +12,7 @@
 from heapq import heappop, heappush
 from typing import Any
 
-from ..brain import CallController
+from ..call_controller import CallController
 from ..callers import lines
 from ..facts import NOTES, Facts, circuits_in, controller_facts
 from ..host import GwState, LegEnd, ListEntry, Rsn
@@ -68,7 +68,7 @@
         self.now = self.beat_at = now
         self.counts: dict[str, int] = {}
         self.controller = make(self, seed, here, proxies, self.types, **figures)
-        self.controller.begin(now)
+        self.controller.start(now)
 
     # --- what the controller asks for ---
 
@@ -108,10 +108,10 @@
     def abort(self, dialog: int) -> None:
         self._answer(dialog, ABORTED, 0)
 
-    def wake_after(self, delay: int) -> None:
+    def schedule_tick(self, delay: int) -> None:
         self.beat_at = self.now + delay
 
-    def tell_all(self, told: bytes) -> None:
+    def send_to_peers(self, told: bytes) -> None:
         """Proxies tell each other nothing here: the platform gives them no way."""
 
     def subscribe(self) -> None:
@@ -143,11 +143,11 @@
             self.unusable(now, conn, id, "field class names no traffic type")
             return
         most = self.widths[place] if place < len(self.widths) else width
-        if left * MS > self.types[place].no_answer_time + MS or width > most or far not in self.controller.by_number:
+        if left * MS > self.types[place].no_answer_time + MS or width > most or far not in self.controller.exchange_by_number:
             self.unusable(now, conn, id, "field left, width or dest is out of range")
             return
         if len(self.by_dialog) >= self.most_open:
-            self._refuse_untaken(conn, id, "too many open", DECLINED, self.controller.longest_hold_off // MS)
+            self._refuse_untaken(conn, id, "too many open", DECLINED, self.controller.max_hold_off // MS)
             return
         call = Call(id, self.dialogs, conn, kind, number, sdp, width)
         call.came_at = now
@@ -157,7 +157,7 @@
         self.by_id[id] = self.by_dialog[call.dialog] = call
         self.on_conn.setdefault(conn, {})[id] = call
         self.wire.record("set-up-taken", id, dest=far, left_ms=left)
-        self.controller.dialog_came(
+        self.controller.dialog_received(
             now, call.dialog, place, far, width, number, left * MS, transit, redialled, cut, -1 if transit else advised
         )
         self._tell_later()
@@ -289,7 +289,7 @@
         call.over, call.how_ended = True, how
         self._off_conn(call)
         self.wire.record("set-up-given-up", call.id, legs=call.legs, connection="gone" if call.conn is None else "open")
-        self.controller.dialog_gone(self.now, call.dialog)
+        self.controller.dialog_cancelled(self.now, call.dialog)
         if call.link is not None:
             self._call_off(call)
             self._over(call, LegEnd.NOT_SENT)
@@ -341,13 +341,13 @@
         if self.diagnostics is not None:
             self.diagnostics.answered(gw, took)
             dialog = self.controller.dialogs.get(call.dialog)
-            self.diagnostics.leg_over(gw, dialog is not None and dialog.far == self.numbers.get(gw), "200")
+            self.diagnostics.leg_over(gw, dialog is not None and dialog.destination == self.numbers.get(gw), "200")
         self.standing.setdefault(gw, {})[id] = call
         self.wire.served(call.conn)
         heard = self.wire.to_caller(call.conn, lines.answer(id, sdp))
         call.sdp, call.invite, call.used = "", b"", set()
         self._release_earlier_legs(call, [leg for leg in call.unreleased if leg.gw != gw])
-        self.controller.dialog_stands(now, call.dialog, took)
+        self.controller.dialog_established(now, call.dialog, took)
         if not heard:
             self._end_unheard(call)
         self._tell_later()
@@ -393,7 +393,7 @@
         self.count(f"legs refused {status} {word}")
         if self.diagnostics is not None:
             dialog = self.controller.dialogs.get(call.dialog)
-            self.diagnostics.leg_over(gw, dialog is not None and dialog.far == self.numbers.get(gw), f"{status} {word}")
+            self.diagnostics.leg_over(gw, dialog is not None and dialog.destination == self.numbers.get(gw), f"{status} {word}")
         self._leg_over(call, how, NOTES.get(word, Rsn.NONE), free, size)
         self._tell_later()
 
@@ -435,7 +435,7 @@
             return
         held = self.by_number.get(self.numbers.get(gw, -1), ())
         for other in held if gw in held else (gw,):  # one that has gone speaks for itself alone
-            self.controller.group_told(self.now, other, free, size)
+            self.controller.trunk_group_reported(self.now, other, free, size)
 
     def machine_lost(self, now: int, gw: int) -> None:
         """Nothing comes from there and nothing is taken: what stood there is over, also there should it come back."""
@@ -470,7 +470,7 @@
             # A machine that has started anew holds nothing of what stood there, and may never say so.
             if started > 0:
                 self._cut(gw, [call for call in self.standing.get(gw, {}).values() if call.sent_at < started])
-        self.controller.list_pushed(now, told, whole)
+        self.controller.exchange_list_received(now, told, whole)
         self._drop_unsent_legs()
         self._tell_later()
 
@@ -478,7 +478,7 @@
         """Legs that wait for a connection to a switch that drains or has gone must not leave when it comes up."""
         unsent = [call for held in self.on_link.values() for call in held.values() if call.sent_at < 0]
         for call in unsent:
-            if call.link is not None and call.sent_at < 0 and not self.controller.gws[call.gw].ready:
+            if call.link is not None and call.sent_at < 0 and not self.controller.exchanges[call.gw].ready:
                 self._leg_over(call, LegEnd.UNREACHABLE)
 
     # --- time ---
@@ -499,7 +499,7 @@
                     self._leg_over(call, LegEnd.UNREACHABLE)  # its connection was not made: it never left
         self.ended.forget(now)
         if now >= self.beat_at:
-            self.controller.beat(now)
+            self.controller.tick(now)
         self._tell_later()
         if self.diagnostics is not None:
             self.diagnostics.log_due(self, now)
--- a/gingergap/service/diagnostics.py
+++ b/gingergap/service/diagnostics.py
@@ -36,28 +36,28 @@
         d = controller.dialogs.get(dialog)
         if d is None:
             return
-        ex = controller.by_number.get(d.far)
+        ex = controller.exchange_by_number.get(d.destination)
         why = (
             "no exchange"
             if ex is None
             else "not ready"
             if not ex.ready
             else "no circuits"
-            if not ex.group.fits(d.width)
+            if not ex.group.fits(d.circuits)
             else "slow"
-            if controller._kept_back(d, ex)
+            if controller._is_held_back(d, ex)
             else "cold"
             if now < ex.cold_until
             else "other"
         )
-        self.declined[f"{'transit' if d.transit else 'redialled' if d.redialled else 'first'}, {d.legs} legs, {why}"] += 1
+        self.declined[f"{'transit' if d.transit else 'redialled' if d.redialled else 'first'}, {d.legs_sent} legs, {why}"] += 1
 
     def log_due(self, calls: Any, now: int) -> None:
         if now < self.at:
             return
         self.at = now + SECOND
         controller = calls.controller
-        for gw, ex in controller.gws.items():
+        for gw, ex in controller.exchanges.items():
             if not ex.ready:
                 continue
             took = sorted(self.took.get(gw, []))
@@ -67,14 +67,14 @@
                 number=ex.number,
                 free=ex.group.free,
                 reported=self.last_reported.get(gw),
-                expected_ms=ex.expected(now) // MS,
+                expected_ms=ex.expected_setup(now) // MS,
                 took_ms=[took[len(took) // 2] // MS, took[-1] // MS] if took else "-",
-                out=len(ex.out),
-                pressed_ms=max(0, ex.pressed_until - now) // MS,
+                out=len(ex.legs_out),
+                pressed_ms=max(0, ex.overloaded_until - now) // MS,
                 cold_ms=max(0, ex.cold_until - now) // MS,
                 ends=dict(self.ends.get(gw, {})),
             )
-        self.log("declined", waiting=len(controller.waiting), **{"why": dict(self.declined)})
+        self.log("declined", waiting=len(controller.waiting_dialogs), **{"why": dict(self.declined)})
         self.took.clear()
         self.ends.clear()
         self.declined.clear()
--- a/gingergap/service/process.py
+++ b/gingergap/service/process.py
@@ -191,7 +191,7 @@
                 switch.wanted = switch.wanted and gw in named
         for line in entries:
             gw, state = self.calls.gw_of[line.uid], state_of(line)
-            if self.calls.numbers[gw] == self.calls.controller.here:
+            if self.calls.numbers[gw] == self.calls.controller.own_exchange:
                 continue
             if state == GwState.READY or state == GwState.DRAINING and gw not in self.switches and line.endpoint:
                 # A switch that drains already gets nothing new, but calls that stood there before may end.
--- a/gingergap/store/memory.py
+++ b/gingergap/store/memory.py
@@ -3,7 +3,7 @@
 Standing dialogs and the list's words are written as they change; what was learned is compared with what is kept, and
 only what differs is written. At a start the age of everything follows from when the process last wrote: by the machine's
 own clock where the boot is the same, else by the wall clock, and where that went back nobody knows. How age makes
-knowledge count for less is the module's own matter (`recall` in brain.py).
+knowledge count for less is the module's own matter (`restore` in call_controller.py).
 """
 
 from collections.abc import Callable, Iterable
@@ -110,16 +110,16 @@
                 self._exchange(id_, word, known)
         pairs = {parts(ids[pair.gw], pair.destination): pair for pair in told.pairs}
         for key, pair in pairs.items():
-            self._put(PAIR, key, KeptPair(_coarse(pair.left), pair.span), wall)
+            self._put(PAIR, key, KeptPair(_coarse(pair.remaining), pair.duration), wall)
         for kind, key in list(self.kept):
             if kind == PAIR and key not in pairs:
                 self._take(PAIR, key)
-        self._put(FIGURES, "", KeptFigures(round(told.best_rate, 1), round(told.pace)), wall)
-        callers = {parts(caller.number, caller.kind, caller.far): caller for caller in told.callers}
+        self._put(FIGURES, "", KeptFigures(round(told.best_setup_rate, 1), round(told.average_setup)), wall)
+        callers = {parts(caller.caller_number, caller.traffic_type, caller.destination): caller for caller in told.callers}
         for key, caller in callers.items():
             if key not in self.callers:
-                worth = self.worths[caller.kind] if caller.kind < len(self.worths) else 1.0
-                first = wall - caller.ago / UNIT
+                worth = self.worths[caller.traffic_type] if caller.traffic_type < len(self.worths) else 1.0
+                first = wall - caller.first_tried_ago / UNIT
                 self.pending[CALLER, key] = Change(CALLER, key, KeptCaller(first, worth), first + WORTH_SECONDS * worth)
         for key in self.callers - callers.keys():
             self.pending[CALLER, key] = Change(CALLER, key, None)
@@ -149,8 +149,8 @@
     def _exchange(self, id_: str, word: Word, known: KnownExchange | None) -> None:
         body = KeptExchange(word.number, word.state, word.started, word.at, word.address, word.transport)
         if known is not None:
-            body.quickest, body.took, body.took_ago = known.quickest, known.took, _coarse(known.took_ago)
-            body.pressed_for, body.size = known.pressed_for, known.size
+            body.quickest, body.took, body.took_ago = known.fastest_setup, known.recent_setup, _coarse(known.recent_setup_age)
+            body.pressed_for, body.size = known.overloaded_for, known.size
             body.cap, body.accept_below, body.lower_below = known.cap, known.accept_below, known.lower_below
         self._put(EXCHANGE, id_, body, word.at)
 
--- a/gingergap/trace/anonymise.py
+++ b/gingergap/trace/anonymise.py
@@ -20,14 +20,14 @@
 import msgspec
 from ff3 import FF3Cipher
 
-from .. import brain
+from .. import call_controller
 from .copy import Copy
 from .format import CODES, FORMAT, SNAPSHOT, BadTraceError, Header, Source
 from .snapshot import BadSnapshotError, from_state, state_of
 from .stream import Trace
 
-DIALOG_CAME, RECALL, REMARK = CODES["dialog_came"], CODES["recall"], CODES["remark"]
-NUMBER_AT = 6  # in dialog_came
+DIALOG_RECEIVED, RESTORE, REMARK = CODES["dialog_received"], CODES["restore"], CODES["remark"]
+NUMBER_AT = 6  # in dialog_received
 DIGITS, MIXED = string.digits, string.digits + string.ascii_letters
 PIECES = {DIGITS: (6, 28), MIXED: (4, 16)}  # the cipher's shortest and the longest piece it is given
 IN_TEXT = re.compile(r"\+?\d(?:[ ./()-]?\d){2,}")  # three digits or more, however they are grouped
@@ -89,7 +89,7 @@
         return "".join(reversed(drawn))
 
 
-def own_words(module: ModuleType = brain) -> frozenset[str]:
+def own_words(module: ModuleType = call_controller) -> frozenset[str]:
     """The texts that the module's own source uses: in its state they are no numbers."""
     tree = ast.parse(inspect.getsource(module))
     return frozenset(node.value for node in ast.walk(tree) if isinstance(node, ast.Constant) and isinstance(node.value, str))
@@ -144,9 +144,9 @@
         for block in reader.blocks():
             for entry in trace.unpacked(reader, block):
                 record = entry.record
-                if record[0] == DIALOG_CAME:
+                if record[0] == DIALOG_RECEIVED:
                     record[NUMBER_AT] = numbers.number(record[NUMBER_AT])
-                elif record[0] == RECALL:
+                elif record[0] == RESTORE:
                     callers = [[numbers.number(caller[0]), *caller[1:]] for caller in record[2][3]]
                     record[2] = [*record[2][:3], callers, *record[2][4:]]
                 elif record[0] == REMARK:
--- a/gingergap/trace/compare.py
+++ b/gingergap/trace/compare.py
@@ -16,7 +16,8 @@
 from types import ModuleType
 from typing import Any, NamedTuple
 
-from .. import brain
+from .. import call_controller
+from .earlier_versions import adapted
 from .format import CODES, DIALOG_AT, FIRST_NOTE, NAMES, SNAPSHOT, BadTraceError, Source, is_action, is_event
 from .replay import Asked, controller_of, feed
 from .snapshot import BadSnapshotError, freeze, thaw
@@ -57,8 +58,9 @@
 
 
 def module_at(path: Path) -> ModuleType:
-    """Another version of brain.py as a module of this package. Raises BadTraceError."""
-    name = f"{brain.__package__}._other_brain"
+    """Another version of call_controller.py, or of brain.py as it was called before, as a module of this package with the
+    present interface. Raises BadTraceError."""
+    name = f"{call_controller.__package__}._other_version"
     spec = importlib.util.spec_from_file_location(name, path)
     if spec is None or spec.loader is None:
         raise BadTraceError(f"{path}: no Python file")
@@ -70,6 +72,7 @@
         raise BadTraceError(f"{path}: {type(error).__name__}: {error}") from None
     if not inspect.isclass(getattr(module, "CallController", None)):
         raise BadTraceError(f"{path}: has no CallController")
+    module.CallController = adapted(module.CallController)
     return module
 
 
--- a/gingergap/trace/format.py
+++ b/gingergap/trace/format.py
@@ -34,22 +34,22 @@
 MOST_RAW = 256 << 20
 
 EVENT_NAMES = (
-    "begin",
-    "beat",
-    "peer_told",
-    "list_pushed",
-    "list_failed",
-    "group_told",
-    "dialog_came",
-    "dialog_stands",
+    "start",
+    "tick",
+    "peer_report_received",
+    "exchange_list_received",
+    "exchange_list_failed",
+    "trunk_group_reported",
+    "dialog_received",
+    "dialog_established",
     "leg_ended",
-    "dialog_gone",
+    "dialog_cancelled",
 )
-ACTION_NAMES = ("send_leg", "cancel_leg", "decline", "abort", "wake_after", "tell_all", "subscribe")
+ACTION_NAMES = ("send_leg", "cancel_leg", "decline", "abort", "schedule_tick", "send_to_peers", "subscribe")
 # What the module does not see: its own state, bytes that left for or came from another proxy under an id that both
 # know, a dialog turned away before it, the process running late, an operator's words.
 NOTE_NAMES = ("snapshot", "sent", "came", "turned_away", "ran_late", "remark")
-LATER_EVENT_NAMES = ("recall",)  # events that came when the actions had their codes already
+LATER_EVENT_NAMES = ("restore",)  # events that came when the actions had their codes already
 FIRST_ACTION, FIRST_LATER, FIRST_NOTE = len(EVENT_NAMES), 24, 32
 CODES = {name: code for code, name in enumerate((*EVENT_NAMES, *ACTION_NAMES))}
 CODES |= {name: FIRST_LATER + place for place, name in enumerate(LATER_EVENT_NAMES)}
@@ -57,10 +57,10 @@
 NAMES = {code: name for name, code in CODES.items()}
 SNAPSHOT = CODES["snapshot"]
 DIALOG_AT = {
-    CODES["dialog_came"]: 2,
-    CODES["dialog_stands"]: 2,
+    CODES["dialog_received"]: 2,
+    CODES["dialog_established"]: 2,
     CODES["leg_ended"]: 2,
-    CODES["dialog_gone"]: 2,
+    CODES["dialog_cancelled"]: 2,
     CODES["send_leg"]: 1,
     CODES["cancel_leg"]: 1,
     CODES["decline"]: 1,
--- a/gingergap/trace/replay.py
+++ b/gingergap/trace/replay.py
@@ -9,10 +9,11 @@
 from types import ModuleType
 from typing import Any, NamedTuple
 
-from .. import brain
+from .. import call_controller
 from ..host import GwState, KnownCaller, KnownExchange, KnownPair, Learned, LegEnd, ListEntry, TrafficType
 from .format import CODES, FIRST_NOTE, NAMES, SNAPSHOT, Header, Source, is_action, is_event
 from .snapshot import thaw
+from .stored_names import present_arguments
 from .stream import Entry
 
 SHOWN = 12  # records kept to be shown before a difference
@@ -38,27 +39,29 @@
         return lambda *fields: self.done.append([code, *fields])
 
 
-def controller_of(header: Header | Source, host: Any, module: ModuleType = brain) -> Any:
+def controller_of(header: Header | Source, host: Any, module: ModuleType = call_controller) -> Any:
     """The module as it was made when the trace was begun."""
-    figures = dict(header.figures)
-    types = [TrafficType(*entry[:5], None if entry[5] is None else frozenset(entry[5])) for entry in figures.pop("types")]
-    return module.CallController(host, figures.pop("seed"), figures.pop("here"), figures.pop("proxies"), types, **figures)
+    figures = present_arguments(header.figures)
+    types = [TrafficType(*entry[:5], None if entry[5] is None else frozenset(entry[5])) for entry in figures.pop("traffic_types")]
+    return module.CallController(
+        host, figures.pop("seed"), figures.pop("own_exchange"), figures.pop("proxy_count"), types, **figures
+    )
 
 
 def feed(controller: Any, record: list[Any]) -> None:
     """One event into the module."""
     name, fields = NAMES[record[0]], record[1:]
-    if name == "list_pushed":
+    if name == "exchange_list_received":
         now, entries, whole = fields
-        controller.list_pushed(
+        controller.exchange_list_received(
             now, [ListEntry(gw, number, GwState(state), started) for gw, number, state, started in entries], whole
         )
     elif name == "leg_ended":
         now, dialog, gw, how, rsn, over, free, size = fields
         controller.leg_ended(now, dialog, gw, LegEnd(how), rsn, over, free, size)
-    elif name == "recall":
+    elif name == "restore":
         now, told, age = fields
-        controller.recall(now, learned_of(told), age)
+        controller.restore(now, learned_of(told), age)
     else:
         getattr(controller, name)(*fields)
 
@@ -79,7 +82,7 @@
 class Replay:
     """One source's records, one at a time. `make` gives the controller at the start."""
 
-    def __init__(self, source: Header | Source, whole: bool = True, module: ModuleType = brain) -> None:
+    def __init__(self, source: Header | Source, whole: bool = True, module: ModuleType = call_controller) -> None:
         self.source, self.module = source, module
         self.host = Asked()
         self.controller = controller_of(source, self.host, module) if whole else None
@@ -146,7 +149,7 @@
 
 
 def replay(
-    sources: list[Source] | list[Header], entries: Iterable[Entry], whole: bool = True, module: ModuleType = brain
+    sources: list[Source] | list[Header], entries: Iterable[Entry], whole: bool = True, module: ModuleType = call_controller
 ) -> list[Replay]:
     """Each source's events to a module of its own, to the end or to the first difference of any. `whole`: the entries
     begin where the processes did."""
--- a/gingergap/trace/snapshot.py
+++ b/gingergap/trace/snapshot.py
@@ -1,7 +1,8 @@
-"""The module's whole state as bytes, and back: what lets a replay begin in the middle of a trace.
+"""The whole state of a controller as bytes, and back, so that a replay can begin in the middle of a trace.
 
-The bytes are a pickle of the controller's fields without its host. A pickle from elsewhere could run any code, so
-nothing but the module's own classes, those of host.py and plain containers are ever made from one.
+The bytes are a pickle of the controller's fields without its host, with classes and fields under their stored names (see
+stored_names.py). Unpickling untrusted bytes could run any code, so nothing but the controller module's own classes, those
+of host.py and plain containers are ever made from one.
 """
 
 import io
@@ -9,35 +10,37 @@
 from types import ModuleType
 from typing import Any
 
-from .. import brain, host
+from .. import call_controller, host
+from .earlier_versions import is_earlier
+from .stored_names import STORED_MODULE, present_controller_fields, reading_class, stored_controller_fields, stored_form
 
 OUTSIDE = ("host", "tape")  # fields of a controller that lead out of it
 CONTAINERS = {("builtins", name): kind for name, kind in (("set", set), ("frozenset", frozenset), ("bytearray", bytearray))}
 
 
 class BadSnapshotError(Exception):
-    """Bytes that are no state of this module; one plain line."""
+    """Bytes that are not a state of this module; one line."""
 
 
 def freeze(controller: Any) -> bytes:
     """The state of a controller between two events."""
-    return pickle.dumps({name: value for name, value in vars(controller).items() if name not in OUTSIDE}, protocol=5)
+    return from_state({name: value for name, value in vars(controller).items() if name not in OUTSIDE})
 
 
-def state_of(data: bytes, module: ModuleType = brain) -> dict[str, Any]:
+def state_of(data: bytes, module: ModuleType = call_controller) -> dict[str, Any]:
     """The controller's fields by name. Raises BadSnapshotError."""
     try:
         state = _Reader(data, module).load()
     except BadSnapshotError:
         raise
-    except Exception as error:  # a pickle that was made wrong fails in any way it likes
+    except Exception as error:  # a malformed pickle can raise any exception
         raise BadSnapshotError(f"a snapshot can't be read: {type(error).__name__}: {error}") from None
     if not isinstance(state, dict):
         raise BadSnapshotError("a snapshot holds no state")
-    return state
+    return state if is_earlier(module) else present_controller_fields(state)
 
 
-def thaw(data: bytes, to: Any, module: ModuleType = brain) -> Any:
+def thaw(data: bytes, to: Any, module: ModuleType = call_controller) -> Any:
     """A controller of `module` in that state, with `to` for its host. Raises BadSnapshotError."""
     state = state_of(data, module)
     controller = module.CallController.__new__(module.CallController)
@@ -47,8 +50,15 @@
 
 
 def from_state(state: dict[str, Any]) -> bytes:
-    """Bytes of a state whose values have been changed."""
-    return pickle.dumps(state, protocol=5)
+    """Bytes of a controller's fields by name, as `state_of` gives them."""
+    file = io.BytesIO()
+    _Writer(file, protocol=5).dump(stored_controller_fields(state))
+    return file.getvalue()
+
+
+class _Writer(pickle.Pickler):
+    def reducer_override(self, instance: Any) -> Any:
+        return stored_form(instance)
 
 
 class _Reader(pickle.Unpickler):
@@ -59,7 +69,10 @@
     def find_class(self, module: str, name: str) -> Any:
         if (module, name) in CONTAINERS:
             return CONTAINERS[module, name]
-        if module in (brain.__name__, self.module.__name__):
+        if module in (STORED_MODULE, self.module.__name__):
+            found = reading_class(name, self.module, not is_earlier(self.module))
+            if found is not None:
+                return found
             found = getattr(self.module, name, None)
             own = isinstance(found, type) and found.__module__ == self.module.__name__
         elif module == host.__name__:
--- a/gingergap/trace/stories.py
+++ b/gingergap/trace/stories.py
@@ -10,9 +10,18 @@
 from .format import CODES, FIRST_NOTE, Header, Source
 from .stream import Entry, Trace
 
-(LIST_PUSHED, CAME, STANDS, LEG_ENDED, GONE, SEND, DECLINE, ABORT) = (
+(EXCHANGE_LIST_RECEIVED, CAME, STANDS, LEG_ENDED, GONE, SEND, DECLINE, ABORT) = (
     CODES[name]
-    for name in ("list_pushed", "dialog_came", "dialog_stands", "leg_ended", "dialog_gone", "send_leg", "decline", "abort")
+    for name in (
+        "exchange_list_received",
+        "dialog_received",
+        "dialog_established",
+        "leg_ended",
+        "dialog_cancelled",
+        "send_leg",
+        "decline",
+        "abort",
+    )
 )
 SENT, CAME_BY = CODES["sent"], CODES["came"]
 STOOD, DECLINED, ABORTED, GIVEN_UP, OPEN = "stood", "declined", "aborted", "given up", "open"
@@ -136,7 +145,7 @@
             story = self.held[source, record[2]] = Story(source, place, [code, now, *record[2:]])
             story.crossing = self.came_by.pop((source, record[2]), b"")
             return story
-        if code == LIST_PUSHED:
+        if code == EXCHANGE_LIST_RECEIVED:
             for gw, number, _, _ in record[2]:
                 self.numbers[source][gw] = number
             return None
--- a/gingergap/trace/tally.py
+++ b/gingergap/trace/tally.py
@@ -13,8 +13,9 @@
 from .stories import ABORT, CAME, DECLINE, DECLINED, GIVEN_UP, LEG_ENDED, SEND, STANDS, STOOD, Leg, Stories, Story
 from .stream import Entry
 
-BEAT, LIST_PUSHED, LIST_FAILED, GROUP_TOLD, TURNED_AWAY, RAN_LATE = (
-    CODES[name] for name in ("beat", "list_pushed", "list_failed", "group_told", "turned_away", "ran_late")
+TICK, EXCHANGE_LIST_RECEIVED, EXCHANGE_LIST_FAILED, TRUNK_GROUP_REPORTED, TURNED_AWAY, RAN_LATE = (
+    CODES[name]
+    for name in ("tick", "exchange_list_received", "exchange_list_failed", "trunk_group_reported", "turned_away", "ran_late")
 )
 LONGEST = 600_000_000  # microseconds in a histogram
 STANDSTILL = 2_500  # 250 ms in which nothing happened: the module's own beat comes fifty times a second
@@ -80,7 +81,7 @@
         "standstill",
         "beats",
         "lateness",
-        "list_failed",
+        "exchange_list_failed",
         "far",
         "causes",
         "after_standstill",
@@ -90,7 +91,7 @@
         self.source, self.begin = source, begin
         self.came = self.stood = self.late = self.declined = self.aborted = self.given_up = self.no_leg = 0
         self.worth = self.earned = 0.0
-        self.in_transit = self.transit_refused = self.turned_away = self.list_failed = self.beats = 0
+        self.in_transit = self.transit_refused = self.turned_away = self.exchange_list_failed = self.beats = 0
         self.standstill = 0  # the longest time between two things that happened
         self.lateness = 0  # the most that a timer was late
         self.after_standstill = 0  # dialogs lost that came while nothing happened, or soon after it
@@ -141,13 +142,13 @@
         elif heard >= 0 and now - heard > 0:
             self._quiet(source, heard, now)
         self.heard[source] = -1 if code == "gap" else now  # what a gap held is not known to be silence
-        if code == BEAT:
+        if code == TICK:
             here.beats += 1
-        elif code == LIST_PUSHED:
+        elif code == EXCHANGE_LIST_RECEIVED:
             self._listed(here, source, now, record[2])
-        elif code == LIST_FAILED:
-            here.list_failed += 1
-        elif code == GROUP_TOLD:
+        elif code == EXCHANGE_LIST_FAILED:
+            here.exchange_list_failed += 1
+        elif code == TRUNK_GROUP_REPORTED:
             self._told(source, record[2], record[3], record[4])
         elif code == TURNED_AWAY:
             here.turned_away += 1
--- a/gingergap/trace/tap.py
+++ b/gingergap/trace/tap.py
@@ -13,9 +13,10 @@
 
 from ..benchlink.codec import BadLineError, decode
 from ..benchlink.proxy import Proxy
-from ..brain import CallController
+from ..call_controller import CallController
 from .copy import Copy
 from .format import FORMAT, BadTraceError, Header, timed
+from .stored_names import stored_arguments
 from .stream import Entry
 from .tape import Tape, module_digest, recorded
 
@@ -76,7 +77,7 @@
 
     def _made(self, host: Any, seed: int, here: int, proxies: int, types: list[Any], **figures: Any) -> CallController:
         self.figures.update(
-            figures,
+            stored_arguments(figures),
             seed=seed,
             here=here,
             proxies=proxies,
--- a/gingergap/trace/tape.py
+++ b/gingergap/trace/tape.py
@@ -9,22 +9,31 @@
 from collections.abc import Callable
 from typing import Any
 
-from .. import brain
-from ..brain import CallController
+from .. import call_controller
+from ..call_controller import CallController
 from ..host import Host, Learned
 from .format import ACTION_NAMES, CODES, EVENT_NAMES, SNAPSHOT
 from .snapshot import freeze
 
-(BEGIN, BEAT, PEER_TOLD, LIST_PUSHED, LIST_FAILED, GROUP_TOLD, DIALOG_CAME, DIALOG_STANDS, LEG_ENDED, DIALOG_GONE) = (
-    CODES[name] for name in EVENT_NAMES
-)
-RECALL = CODES["recall"]
-SEND_LEG, CANCEL_LEG, DECLINE, ABORT, WAKE_AFTER, TELL_ALL, SUBSCRIBE = (CODES[name] for name in ACTION_NAMES)
+(
+    START,
+    TICK,
+    PEER_REPORT_RECEIVED,
+    EXCHANGE_LIST_RECEIVED,
+    EXCHANGE_LIST_FAILED,
+    TRUNK_GROUP_REPORTED,
+    DIALOG_RECEIVED,
+    DIALOG_ESTABLISHED,
+    LEG_ENDED,
+    DIALOG_CANCELLED,
+) = (CODES[name] for name in EVENT_NAMES)
+RESTORE = CODES["restore"]
+SEND_LEG, CANCEL_LEG, DECLINE, ABORT, SCHEDULE_TICK, SEND_TO_PEERS, SUBSCRIBE = (CODES[name] for name in ACTION_NAMES)
 
 
 def module_digest() -> str:
     """Which text of the module decided."""
-    return hashlib.blake2s(inspect.getsource(brain).encode(), digest_size=12).hexdigest()
+    return hashlib.blake2s(inspect.getsource(call_controller).encode(), digest_size=12).hexdigest()
 
 
 def crossing(text: str) -> bytes:
@@ -127,13 +136,13 @@
         self.tape.action((ABORT, dialog))
         self.host.abort(dialog)
 
-    def wake_after(self, delay: int) -> None:
-        self.tape.action((WAKE_AFTER, delay))
-        self.host.wake_after(delay)
+    def schedule_tick(self, delay: int) -> None:
+        self.tape.action((SCHEDULE_TICK, delay))
+        self.host.schedule_tick(delay)
 
-    def tell_all(self, told: bytes) -> None:
-        self.tape.action((TELL_ALL, told))
-        self.host.tell_all(told)
+    def send_to_peers(self, told: bytes) -> None:
+        self.tape.action((SEND_TO_PEERS, told))
+        self.host.send_to_peers(told)
 
     def subscribe(self) -> None:
         self.tape.action((SUBSCRIBE,))
@@ -145,35 +154,35 @@
 
     tape: Tape
 
-    def begin(self, now: int) -> None:
-        self.tape.event((BEGIN, now))
-        super().begin(now)
+    def start(self, now: int) -> None:
+        self.tape.event((START, now))
+        super().start(now)
 
-    def beat(self, now: int) -> None:
-        self.tape.event((BEAT, now))
-        CallController.beat(self, now)
+    def tick(self, now: int) -> None:
+        self.tape.event((TICK, now))
+        CallController.tick(self, now)
 
-    def peer_told(self, now: int, told: bytes) -> None:
-        self.tape.event((PEER_TOLD, now, told))
-        CallController.peer_told(self, now, told)
+    def peer_report_received(self, now: int, told: bytes) -> None:
+        self.tape.event((PEER_REPORT_RECEIVED, now, told))
+        CallController.peer_report_received(self, now, told)
 
-    def list_pushed(self, now: int, entries: list, whole: bool) -> None:
-        self.tape.event((LIST_PUSHED, now, [[int(part) for part in entry] for entry in entries], whole))
-        super().list_pushed(now, entries, whole)
+    def exchange_list_received(self, now: int, entries: list, whole: bool) -> None:
+        self.tape.event((EXCHANGE_LIST_RECEIVED, now, [[int(part) for part in entry] for entry in entries], whole))
+        super().exchange_list_received(now, entries, whole)
 
-    def recall(self, now: int, known: Learned, age: int) -> None:
-        self.tape.event((RECALL, now, known, age))
-        super().recall(now, known, age)
+    def restore(self, now: int, known: Learned, age: int) -> None:
+        self.tape.event((RESTORE, now, known, age))
+        super().restore(now, known, age)
 
-    def list_failed(self, now: int) -> None:
-        self.tape.event((LIST_FAILED, now))
-        super().list_failed(now)
+    def exchange_list_failed(self, now: int) -> None:
+        self.tape.event((EXCHANGE_LIST_FAILED, now))
+        super().exchange_list_failed(now)
 
-    def group_told(self, now: int, gw: int, free: int, size: int) -> None:
-        self.tape.event((GROUP_TOLD, now, gw, free, size))
-        CallController.group_told(self, now, gw, free, size)
+    def trunk_group_reported(self, now: int, gw: int, free: int, size: int) -> None:
+        self.tape.event((TRUNK_GROUP_REPORTED, now, gw, free, size))
+        CallController.trunk_group_reported(self, now, gw, free, size)
 
-    def dialog_came(
+    def dialog_received(
         self,
         now: int,
         dialog: int,
@@ -187,20 +196,20 @@
         cut: bool,
         advised: int = -1,
     ) -> None:
-        self.tape.event((DIALOG_CAME, now, dialog, kind, far, width, number, expires_in, transit, redialled, cut, advised))
-        CallController.dialog_came(self, now, dialog, kind, far, width, number, expires_in, transit, redialled, cut, advised)
+        self.tape.event((DIALOG_RECEIVED, now, dialog, kind, far, width, number, expires_in, transit, redialled, cut, advised))
+        CallController.dialog_received(self, now, dialog, kind, far, width, number, expires_in, transit, redialled, cut, advised)
 
-    def dialog_stands(self, now: int, dialog: int, took: int) -> None:
-        self.tape.event((DIALOG_STANDS, now, dialog, took))
-        CallController.dialog_stands(self, now, dialog, took)
+    def dialog_established(self, now: int, dialog: int, took: int) -> None:
+        self.tape.event((DIALOG_ESTABLISHED, now, dialog, took))
+        CallController.dialog_established(self, now, dialog, took)
 
     def leg_ended(self, now: int, dialog: int, gw: int, how, rsn: int, over: bool, free: int, size: int) -> None:
         self.tape.event((LEG_ENDED, now, dialog, gw, int(how), int(rsn), over, free, size))
         CallController.leg_ended(self, now, dialog, gw, how, rsn, over, free, size)
 
-    def dialog_gone(self, now: int, dialog: int) -> None:
-        self.tape.event((DIALOG_GONE, now, dialog))
-        super().dialog_gone(now, dialog)
+    def dialog_cancelled(self, now: int, dialog: int) -> None:
+        self.tape.event((DIALOG_CANCELLED, now, dialog))
+        super().dialog_cancelled(now, dialog)
 
 
 def recorded(tape: Tape, host: Host, *args: Any, **figures: Any) -> CallController:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -12,7 +12,7 @@
 from known_red import pytest_addoption, pytest_collection_modifyitems, pytest_terminal_summary  # noqa: F401 - hooks
 from soak import Soak
 
-from gingergap.brain import CallController
+from gingergap.call_controller import CallController
 from gingergap.edge.serve import proxy_of
 from gingergap.host import GwState, ListEntry, TrafficType
 from gingergap.settings.edge import EdgeForm
@@ -92,29 +92,29 @@
         4,
         [VOICE, VIDEO, KEYED],
         release_guard=2_000,
-        most_legs=4,
-        longest_hold_off=20_000,
-        may_cancel=True,
-        must_ask=False,
-        may_tell=True,
-        centre_advises=False,
-        cold_from=0.4,
+        max_legs=4,
+        max_hold_off=20_000,
+        can_cancel_legs=True,
+        must_subscribe=False,
+        can_message_peers=True,
+        has_route_advice=False,
+        cold_share=0.4,
         warm_after=140_000,
-        multiple=2.5,
-        fall_span=20_000,
+        overload_factor=2.5,
+        overload_span=20_000,
     )
-    controller.list_pushed(0, [ListEntry(gw, gw, GwState.READY, 0) for gw in range(4)], True)
+    controller.exchange_list_received(0, [ListEntry(gw, gw, GwState.READY, 0) for gw in range(4)], True)
     for gw in (1, 2, 3):
-        controller.group_told(0, gw, 20, 20)
+        controller.trunk_group_reported(0, gw, 20, 20)
 
     def came(dialog, far=1, now=0, kind=0, width=1, expires_in=30_000, transit=False, number="n"):
-        controller.dialog_came(now, dialog, kind, far, width, f"{number}{dialog}", expires_in, transit, False, False)
+        controller.dialog_received(now, dialog, kind, far, width, f"{number}{dialog}", expires_in, transit, False, False)
 
     def beats(until, start=0):
         for now in range(start, until, 200):
-            controller.beat(now)
+            controller.tick(now)
 
-    return SimpleNamespace(host=host, controller=controller, came=came, beats=beats, gws=controller.gws)
+    return SimpleNamespace(host=host, controller=controller, came=came, beats=beats, gws=controller.exchanges)
 
 
 class Peers:
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -5,7 +5,7 @@
 
 from gingergap.benchlink.__main__ import serve
 from gingergap.benchlink.codec import BadLineError
-from gingergap.brain import CallController
+from gingergap.call_controller import CallController
 
 FACTS = {
     "Ceilings": {"Cancelling": True, "MaxRetryAfter": 2_000_000, "MostTries": 6, "RetryAfter": True},
@@ -72,6 +72,6 @@
     def fail(*_):
         raise RuntimeError("oh")
 
-    monkeypatch.setattr(CallController, "dialog_came", fail)
+    monkeypatch.setattr(CallController, "dialog_received", fail)
     replies = play(TICK, SPAWN, KNOCK, END)
     assert [r["Message"] for r in replies if r["t"] == "Panic"] == ["Knock: RuntimeError('oh')"]
--- a/tests/test_edge_parts.py
+++ b/tests/test_edge_parts.py
@@ -105,17 +105,17 @@
     peers.new()
     peers.tell_list(3, [("x1", "gone", 0)])
     assert [m.get("Event") for m in peers.new("SUBSCRIBE")] == ["exchange-list"]
-    assert peers.proxy.controller.by_number[1].ready  # not used: something is missing before it
+    assert peers.proxy.controller.exchange_by_number[1].ready  # not used: something is missing before it
     peers.tell_list(3, [("x0", "ready", 0), ("x1", "gone", 0), ("x2", "draining", 0)], "full")
-    states = {name: peers.proxy.controller.gws[peers.proxy.gws[name]].ready for name in ("x1", "x2", "x3")}
+    states = {name: peers.proxy.controller.exchanges[peers.proxy.gws[name]].ready for name in ("x1", "x2", "x3")}
     assert states == {"x1": False, "x2": False, "x3": False}
     peers.tell_list(2, [("x1", "ready", 0)])
-    assert not peers.proxy.controller.by_number[1].ready  # overtaken
+    assert not peers.proxy.controller.exchange_by_number[1].ready  # overtaken
 
 
 def test_one_start_told_twice_is_one_start(peers):
     peers.tell_list(1, [("x1", "ready", 1_000_001.5)], "full")
-    ex = peers.proxy.controller.by_number[1]
+    ex = peers.proxy.controller.exchange_by_number[1]
     first = ex.started
     peers.pass_time(30_000)
     peers.tell_list(2, [("x1", "ready", 1_000_001.5)])
@@ -138,7 +138,7 @@
             ],
         },
     )
-    ex = peers.proxy.controller.by_number[1]
+    ex = peers.proxy.controller.exchange_by_number[1]
     assert peers.proxy.ids[ex.gw] == "new" and (ex.group.free, ex.group.size) == (20, 20)
     invite = peers.invite()
     assert [hop.port for _, hop in peers.legs(invite.call_id)] == [7201]
@@ -155,7 +155,7 @@
     "body", [b"", b"{", b"[]", b'{"version":"x"}', b'{"version":1,"state":"full","epoch":"e"}', b"\xff\xfe", b"[" * 5000]
 )
 def test_a_notification_that_is_no_list_is_refused_and_the_old_one_kept(peers, body):
-    before = dict(peers.proxy.controller.by_number)
+    before = dict(peers.proxy.controller.exchange_by_number)
     sub = peers.proxy.subscribers["exchange-list"]
     message = Message("NOTIFY", "sip:127.0.0.1:7000", body=body)
     message.fields = [
@@ -169,7 +169,7 @@
     ]
     peers.come(message)
     assert [m.status for m in peers.new(port=9000)] == [400 if body else 200]
-    assert peers.proxy.controller.by_number == before
+    assert peers.proxy.controller.exchange_by_number == before
 
 
 def test_the_list_is_asked_for_again_after_it_fell_silent(peers):
@@ -177,7 +177,7 @@
     peers.pass_time(100 * SECOND)
     lists = [m for m in peers.all("SUBSCRIBE") if m.get("Event") == "exchange-list"]
     assert len({m.call_id for m in lists}) > 2
-    assert peers.proxy.controller.by_number[1].ready  # what it last knew still serves
+    assert peers.proxy.controller.exchange_by_number[1].ready  # what it last knew still serves
 
 
 # --- circuits, door, numbers, words ---
@@ -312,4 +312,4 @@
         ("CSeq", "1 MESSAGE"),
     ]
     peers.come(told)
-    assert peers.proxy.controller.by_number[2].reach == (0x0E, 0x0E)
+    assert peers.proxy.controller.exchange_by_number[2].reachable == (0x0E, 0x0E)
--- a/tests/test_edge_process.py
+++ b/tests/test_edge_process.py
@@ -147,7 +147,7 @@
     one.stop()
     (trace,) = opened([tmp_path / "t"])
     records = [entry.record for entry in trace.entries()]
-    assert sum(record[0] == CODES["dialog_came"] for record in records) == 2
+    assert sum(record[0] == CODES["dialog_received"] for record in records) == 2
     assert sum(record[0] == SNAPSHOT for record in records) == 2 and [r[0] for r in records if r[0] == "gap"][:1] == ["gap"]
     assert [record[2] for record in records if record[0] == CODES["remark"]] == ["a word of ours"]
     done = CliRunner().invoke(main, ["trace", "replay", str(tmp_path / "t")])
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -197,8 +197,8 @@
 class Greedy(Plain):
     """Sends a leg to a drained machine, and two at once: the checker must see both."""
 
-    def dialog_came(self, now, dialog, kind, far, width, number, *rest):
-        super().dialog_came(now, dialog, kind, far, width, number, *rest)
+    def dialog_received(self, now, dialog, kind, far, width, number, *rest):
+        super().dialog_received(now, dialog, kind, far, width, number, *rest)
         gone = [gw for gw, state in self.states.items() if state != GwState.READY]
         if gone and dialog in self.dialogs:
             self.host.send_leg(dialog, gone[0], 1_000)
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -192,14 +192,14 @@
 
 
 def test_a_changed_module_is_a_policy_and_a_change_that_does_not_fit_is_a_line(files):
-    changed = '(policy (name "timid") (change (old "patience: int = 5") (new "patience: int = 1")))'
+    changed = '(policy (name "timid") (change (old "run_limit: int = 5") (new "run_limit: int = 1")))'
     runner = runner_of(files, EXPERIMENT.replace('(policy (name "the same"))', changed))
     row = run_one(next(iter(runner.cells.values())).day, runner.policies["timid"], runner.missing("3,2")[2])
     assert row["policy"] == "timid" and 0 < row["service"] <= 1 and row["broken"] == 0
     assert 0 < row["p50"] <= row["p90"] <= row["p99"] and 0 < row["service_at_end"] <= 1 and set(row) >= set(MEASURES)
     for bad in ("not there at all", "self"):
         form = parse(
-            EXPERIMENT.replace('(policy (name "the same"))', changed.replace("patience: int = 5", bad)),
+            EXPERIMENT.replace('(policy (name "the same"))', changed.replace("run_limit: int = 5", bad)),
             "e",
             experiment=ExperimentForm,
         )
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gingergap.brain import SECOND, CallController
+from gingergap.call_controller import SECOND, CallController
 from gingergap.edge.serve import proxy_of
 from gingergap.host import GwState, KnownCaller, KnownExchange, KnownPair, Learned, LegEnd, ListEntry, Rsn
 from gingergap.sip.fields import top_via
@@ -29,25 +29,25 @@
         4,
         [VOICE, VIDEO],
         release_guard=2_000,
-        most_legs=4,
-        longest_hold_off=20_000,
-        may_cancel=True,
-        must_ask=False,
-        may_tell=False,
-        centre_advises=False,
-        cold_from=0.4,
+        max_legs=4,
+        max_hold_off=20_000,
+        can_cancel_legs=True,
+        must_subscribe=False,
+        can_message_peers=False,
+        has_route_advice=False,
+        cold_share=0.4,
         warm_after=140_000,
-        multiple=2.5,
-        fall_span=20_000,
+        overload_factor=2.5,
+        overload_span=20_000,
     )
     if listed:
-        made.list_pushed(now, [ListEntry(gw, gw, GwState.READY, 0) for gw in range(4)], True)
+        made.exchange_list_received(now, [ListEntry(gw, gw, GwState.READY, 0) for gw in range(4)], True)
     return made, host
 
 
 def told(made, now, sizes=(20, 20, 20)):
     for gw, size in zip((1, 2, 3), sizes, strict=True):
-        made.group_told(now, gw, size, size)
+        made.trunk_group_reported(now, gw, size, size)
 
 
 def worked():
@@ -55,15 +55,15 @@
     made, _ = controller()
     told(made, 0)
     now = 100_000
-    made.dialog_came(now, 1, 0, 1, 1, "a", 30_000, False, False, False)
-    made.dialog_stands(now + 5_000, 1, 5_000)
-    made.dialog_came(now, 2, 0, 2, 1, "b", 30_000, False, False, False)
+    made.dialog_received(now, 1, 0, 1, 1, "a", 30_000, False, False, False)
+    made.dialog_established(now + 5_000, 1, 5_000)
+    made.dialog_received(now, 2, 0, 2, 1, "b", 30_000, False, False, False)
     made.leg_ended(now + 100, 2, 2, LegEnd.NO_ANSWER, Rsn.NONE, False, -1, -1)
-    made.dialog_gone(now + 200, 2)
-    made.turned_back[3, 1] = now + 60_000, 60_000
-    made.carried[2] = [made.gws[1]]
-    made.gws[2].group.cap, made.gws[2].group.accept_below = 19.0, 17.0
-    made.best_rate, made.pace = 80.0, 300.0
+    made.dialog_cancelled(now + 200, 2)
+    made.tandem_backoffs[3, 1] = now + 60_000, 60_000
+    made.proven_tandems[2] = [made.exchanges[1]]
+    made.exchanges[2].group.cap, made.exchanges[2].group.accept_below = 19.0, 17.0
+    made.best_setup_rate, made.average_setup = 80.0, 300.0
     return made, now + 5_000
 
 
@@ -73,37 +73,40 @@
 def test_what_was_learned_a_moment_ago_is_known_as_it_was():
     old, now = worked()
     new, _ = controller(now)
-    new.recall(now, old.learned(now, 100), 0)
+    new.restore(now, old.export_learned(now, 100), 0)
     told(new, now)
     for gw in (1, 2, 3):
-        ours, theirs = new.gws[gw], old.gws[gw]
-        assert ours.quickest == min(theirs.quickest, SECOND // 10) and abs(ours.expected(now) - theirs.expected(now)) <= 10
-        assert ours.pressed_until == min(theirs.pressed_until, now + 2 * SECOND) or theirs.pressed_until <= now
+        ours, theirs = new.exchanges[gw], old.exchanges[gw]
+        assert (
+            ours.fastest_setup == min(theirs.fastest_setup, SECOND // 10)
+            and abs(ours.expected_setup(now) - theirs.expected_setup(now)) <= 10
+        )
+        assert ours.overloaded_until == min(theirs.overloaded_until, now + 2 * SECOND) or theirs.overloaded_until <= now
         assert (ours.group.cap, ours.group.accept_below, ours.group.lower_below) == (
             theirs.group.cap,
             theirs.group.accept_below,
             theirs.group.lower_below,
         )
-    assert new.turned_back == {(3, 1): (160_000, 60_000)} and new.carried[2] == [new.gws[1]]
+    assert new.tandem_backoffs == {(3, 1): (160_000, 60_000)} and new.proven_tandems[2] == [new.exchanges[1]]
     assert new.first_tried == old.first_tried != {}
-    assert new.best_rate == old.best_rate and new.pace == old.pace
+    assert new.best_setup_rate == old.best_setup_rate and new.average_setup == old.average_setup
 
 
 def levels(made, gw=2):
-    group = made.gws[gw].group
+    group = made.exchanges[gw].group
     return group.cap, group.accept_below, group.lower_below
 
 
 def test_a_set_up_time_that_is_remembered_is_believed_up_to_half_the_objective():
     old, now = worked()
-    old.gws[1].took = 80_000
+    old.exchanges[1].recent_setup = 80_000
     new, host = controller(now)
-    new.recall(now, old.learned(now, 100), 0)
-    assert new.gws[1].took == VOICE.setup_objective // 2
+    new.restore(now, old.export_learned(now, 100), 0)
+    assert new.exchanges[1].recent_setup == VOICE.setup_objective // 2
     told(new, now)
-    new.begin(now)
+    new.start(now)
     for dialog in range(40):
-        new.dialog_came(now + SECOND, dialog, 0, 1, 1, f"n{dialog}", 30_000, False, False, False)
+        new.dialog_received(now + SECOND, dialog, 0, 1, 1, f"n{dialog}", 30_000, False, False, False)
     assert host.asked("send_leg")  # a second later far from everything is kept back
 
 
@@ -115,34 +118,34 @@
     last = None
     for age in range(0, 10 * MINUTE, MINUTE // 6):
         new, _ = controller(now)
-        new.recall(now, old.learned(now, 100), age)
+        new.restore(now, old.export_learned(now, 100), age)
         told(new, now)
         weight = 2 ** (-age / MINUTE)
         for ours, theirs, initial in zip(levels(new), before, start, strict=True):
             assert ours == pytest.approx(initial + (theirs - initial) * weight)
-        expected = new.gws[1].expected(now)
+        expected = new.exchanges[1].expected_setup(now)
         assert last is None or expected <= last
-        assert new.best_rate == pytest.approx(80.0 * weight)
+        assert new.best_setup_rate == pytest.approx(80.0 * weight)
         last = expected
-    assert last <= fresh.gws[1].expected(now) + 1
+    assert last <= fresh.exchanges[1].expected_setup(now) + 1
 
 
 def test_of_unknown_age_only_what_needs_no_age_counts():
     old, now = worked()
     new, _ = controller(now)
-    new.recall(now, old.learned(now, 100), -1)
+    new.restore(now, old.export_learned(now, 100), -1)
     told(new, now)
     fresh, _ = controller(now)
     told(fresh, now)
-    assert levels(new) == levels(fresh) and new.first_tried == {} and new.best_rate == 0
-    assert new.gws[1].expected(now) <= fresh.gws[1].expected(now) + 1
-    assert new.turned_back == {(3, 1): (now, 60_000)}  # the next turn-back counts as one after others; nothing is shut now
+    assert levels(new) == levels(fresh) and new.first_tried == {} and new.best_setup_rate == 0
+    assert new.exchanges[1].expected_setup(now) <= fresh.exchanges[1].expected_setup(now) + 1
+    assert new.tandem_backoffs == {(3, 1): (now, 60_000)}  # the next turn-back counts as one after others; nothing is shut now
 
 
 def test_another_size_of_the_group_starts_its_levels_anew():
     old, now = worked()
     new, _ = controller(now)
-    new.recall(now, old.learned(now, 100), 0)
+    new.restore(now, old.export_learned(now, 100), 0)
     told(new, now, (20, 12, 20))
     fresh, _ = controller(now)
     told(fresh, now, (20, 12, 20))
@@ -152,31 +155,31 @@
 def test_a_new_start_of_a_far_end_voids_what_was_known_of_its_processor():
     old, now = worked()
     new, _ = controller(now)
-    new.recall(now, old.learned(now, 100), 0)
-    assert new.gws[1].took > 0
-    new.list_pushed(now + 10, [ListEntry(1, 1, GwState.READY, now + 5)], False)
-    assert new.gws[1].took == 0 and new.gws[1].quickest == SECOND // 10
+    new.restore(now, old.export_learned(now, 100), 0)
+    assert new.exchanges[1].recent_setup > 0
+    new.exchange_list_received(now + 10, [ListEntry(1, 1, GwState.READY, now + 5)], False)
+    assert new.exchanges[1].recent_setup == 0 and new.exchanges[1].fastest_setup == SECOND // 10
     # listed before the recall, as another start than the one that was remembered
     late, _ = controller(now)
-    late.list_pushed(now, [ListEntry(1, 1, GwState.READY, now - 50)], False)
-    late.recall(now, old.learned(now, 100), 0)
-    assert late.gws[1].took == 0
+    late.exchange_list_received(now, [ListEntry(1, 1, GwState.READY, now - 50)], False)
+    late.restore(now, old.export_learned(now, 100), 0)
+    assert late.exchanges[1].recent_setup == 0
 
 
 def test_a_cold_exchange_rests_for_a_span_after_a_start_and_no_longer():
     old, now = worked()
     new, host = controller(now, listed=False)
-    new.list_pushed(now, [ListEntry(0, 0, GwState.READY, 0), ListEntry(1, 1, GwState.READY, now - 10_000)], True)
-    known = old.learned(now, 0)
-    new.recall(
+    new.exchange_list_received(now, [ListEntry(0, 0, GwState.READY, 0), ListEntry(1, 1, GwState.READY, now - 10_000)], True)
+    known = old.export_learned(now, 0)
+    new.restore(
         now, known._replace(exchanges=[one._replace(started=now - 10_000) for one in known.exchanges if one.gw == 1], pairs=[]), 100
     )
-    new.group_told(now, 1, 20, 20)
-    new.dialog_came(now + 1, 1, 0, 1, 1, "a", 90_000, False, False, False)
+    new.trunk_group_reported(now, 1, 20, 20)
+    new.dialog_received(now + 1, 1, 0, 1, 1, "a", 90_000, False, False, False)
     assert host.asked("send_leg") == []
     for beat in range(now + 200, now + 21_000, 200):
-        new.beat(beat)
-    new.dialog_came(now + 21_000, 2, 0, 1, 1, "b", 90_000, False, False, False)
+        new.tick(beat)
+    new.dialog_received(now + 21_000, 2, 0, 1, 1, "b", 90_000, False, False, False)
     assert [entry[0] for entry in host.asked("send_leg")] == [2] or len(host.asked("send_leg")) >= 1
 
 
@@ -207,21 +210,21 @@
 def test_nothing_that_is_remembered_shuts_a_far_end_out_for_good(known, age):
     now = 10**9
     made, host = controller(now)
-    made.recall(now, learned_of([known.now, *known[1:]]), age)
-    for exchange in made.gws.values():
-        assert exchange.pressed_until <= now + 2 * SECOND and exchange.rests_until <= now + 2 * SECOND
+    made.restore(now, learned_of([known.now, *known[1:]]), age)
+    for exchange in made.exchanges.values():
+        assert exchange.overloaded_until <= now + 2 * SECOND and exchange.cold_blocked_until <= now + 2 * SECOND
         group = exchange.group
-        assert group.floor <= group.cap <= max(group.size, group.cap if group.size == 0 else group.size)
+        assert group.min_cap <= group.cap <= max(group.size, group.cap if group.size == 0 else group.size)
         assert group.size == 0 or group.lower_below < group.accept_below < group.cap
-    assert all(until <= now + MINUTE and span <= MINUTE for until, span in made.turned_back.values())
-    assert all(now - first <= made.types[kind].no_answer_time for (_, kind, _), first in made.first_tried.items())
+    assert all(until <= now + MINUTE and span <= MINUTE for until, span in made.tandem_backoffs.values())
+    assert all(now - first <= made.traffic_types[kind].no_answer_time for (_, kind, _), first in made.first_tried.items())
     told(made, now)
-    made.begin(now)
+    made.start(now)
     for beat in range(now + 200, now + MINUTE + SECOND, SECOND):
-        made.beat(beat)
+        made.tick(beat)
     later = now + MINUTE + SECOND
     for dialog, far in enumerate((1, 2, 3)):
-        made.dialog_came(later, dialog, 0, far, 1, f"new{dialog}", 90_000, False, False, False)
+        made.dialog_received(later, dialog, 0, far, 1, f"new{dialog}", 90_000, False, False, False)
     assert sorted(entry[1] for entry in host.asked("send_leg")) == [1, 2, 3]  # a trial always comes
 
 
@@ -229,14 +232,14 @@
     old, now = worked()
     levels_seen, expected = [], []
     for _ in range(30):
-        known = old.learned(now, 100)
+        known = old.export_learned(now, 100)
         now += 5_000
         old, _ = controller(now)
-        old.recall(now, known, 5_000)
+        old.restore(now, known, 5_000)
         told(old, now)
         levels_seen.append(levels(old)[0])
-        expected.append(old.gws[1].expected(now))
-        assert len(old.learned(now, 100).pairs) <= len(known.pairs)
+        expected.append(old.exchanges[1].expected_setup(now))
+        assert len(old.export_learned(now, 100).pairs) <= len(known.pairs)
     assert expected == sorted(expected, reverse=True)
     fresh, _ = controller(now)
     told(fresh, now)
@@ -269,14 +272,14 @@
     memory = Memory(3_600, 100, [1.0, 3.0])
     for place, id_ in enumerate(IDS):
         memory.listed(id_, Word(place, 2, 0.0, 990.0, f"127.0.0.1:{7100 + place}", "UDP"))
-    memory.learned(1_000.0, old.learned(now, 100), IDS)
+    memory.learned(1_000.0, old.export_learned(now, 100), IDS)
     first = memory.batch(alive())
     assert {change.kind for change in first} == {EXCHANGE, PAIR, "figures", CALLER, ALIVE}
-    memory.learned(1_000.0, old.learned(now, 100), IDS)
+    memory.learned(1_000.0, old.export_learned(now, 100), IDS)
     assert [change.kind for change in memory.batch(alive())] == [ALIVE]
-    old.turned_back.clear()
+    old.tandem_backoffs.clear()
     old.first_tried.clear()
-    memory.learned(1_000.1, old.learned(now, 100), IDS)
+    memory.learned(1_000.1, old.export_learned(now, 100), IDS)
     gone = [change for change in memory.batch(alive()) if change.body is None]
     assert {change.kind for change in gone} == {PAIR, CALLER}
 
@@ -326,7 +329,7 @@
     memory = Memory(3_600, 100, [1.0, 3.0])
     for place, id_ in enumerate(IDS):
         memory.listed(id_, Word(place, 2, 990.0 if place == 2 else 0.0, 995.0, f"127.0.0.1:{7100 + place}", "TCP"))
-    told_now = old.learned(now, 100)
+    told_now = old.export_learned(now, 100)
     memory.learned(1_000.0, told_now, IDS)
     memory.stood("call", "ct", KeptStanding(1, 2, 3, "x3", 3, 990.0, True, "tt"))
     memory.token("probe x1", 17)
@@ -338,11 +341,18 @@
     by_id = {found.ids[one.gw]: one for one in found.learned.exchanges}
     for known in told_now.exchanges:
         kept = by_id[IDS[known.gw]]
-        assert (kept.quickest, kept.took, kept.size, kept.cap) == (known.quickest, known.took, known.size, known.cap)
-        assert 0 <= known.took_ago - kept.took_ago < 1_000
+        assert (kept.fastest_setup, kept.recent_setup, kept.size, kept.cap) == (
+            known.fastest_setup,
+            known.recent_setup,
+            known.size,
+            known.cap,
+        )
+        assert 0 <= known.recent_setup_age - kept.recent_setup_age < 1_000
     assert {(found.ids[pair.gw], pair.destination) for pair in found.learned.pairs} == {("x3", 1), ("x1", 2)}
     (caller,) = found.learned.callers
-    assert (caller.number, caller.kind, caller.far) == ("b", 0, 2) and abs(caller.ago - told_now.callers[0].ago) <= 1
+    assert (caller.caller_number, caller.traffic_type, caller.destination) == ("b", 0, 2) and abs(
+        caller.first_tried_ago - told_now.callers[0].first_tried_ago
+    ) <= 1
     assert read(book, 1_030.0, 80.0).learned.callers == []  # gave up long ago
     assert read(book, 9_000.0, 8_050.0).words == {}  # words hold for an hour
     assert read(book, 20_000.0, 19_050.0).standing == {}
@@ -525,11 +535,11 @@
     leg = peers.legs(invite.call_id)[0]
     peers.pass_time(peers.now + 4_000)
     peers.answer(leg, 200)
-    slow = peers.proxy.controller.gws[peers.proxy.gws["x2"]]
-    assert slow.took > 0
+    slow = peers.proxy.controller.exchanges[peers.proxy.gws["x2"]]
+    assert slow.recent_setup > 0
     again = peers.killed(after=0.5)
-    known = again.proxy.controller.gws[again.proxy.gws["x2"]]
-    assert known.took == slow.took and known.expected(again.now) < slow.expected(peers.now)
+    known = again.proxy.controller.exchanges[again.proxy.gws["x2"]]
+    assert known.recent_setup == slow.recent_setup and known.expected_setup(again.now) < slow.expected_setup(peers.now)
     assert known.group.size == 20
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from gingergap.brain import Chance, Dialog, Exchange, TrunkGroup
+from gingergap.call_controller import Dialog, Exchange, LinearCongruentialGenerator, TrunkGroup
 from gingergap.host import GwState, LegEnd, ListEntry, Rsn
 
 
@@ -22,7 +22,7 @@
 
 
 def test_a_transit_dialog_goes_to_its_destination_or_back(mesh):
-    mesh.gws[2].group.told(0, 20)
+    mesh.gws[2].group.update(0, 20)
     mesh.came(0, far=2, transit=True)
     mesh.came(1, far=1, transit=True)
     assert mesh.host.asked("decline") == [(0, 0)]
@@ -37,21 +37,21 @@
 
 @pytest.mark.parametrize("state", [GwState.DRAINING, GwState.GONE])
 def test_nothing_goes_to_a_draining_or_gone_exchange(mesh, state):
-    mesh.controller.list_pushed(10, [ListEntry(1, 1, state, 0)], False)
+    mesh.controller.exchange_list_received(10, [ListEntry(1, 1, state, 0)], False)
     mesh.came(0, now=10)
     assert not mesh.host.asked("send_leg")
     assert mesh.host.asked("decline")
 
 
 def test_what_a_whole_list_leaves_out_is_gone(mesh):
-    mesh.controller.list_pushed(10, [ListEntry(0, 0, GwState.READY, 0)], True)
+    mesh.controller.exchange_list_received(10, [ListEntry(0, 0, GwState.READY, 0)], True)
     mesh.came(0, now=10)
     assert not mesh.host.asked("send_leg")
 
 
 def test_a_cold_exchange_gets_its_share_and_no_more(mesh):
-    mesh.controller.best_rate = 61.0  # 6.1 a second to each far end from all; in 2 s, three times 0.25 of it
-    mesh.controller.list_pushed(10, [ListEntry(1, 1, GwState.READY, 10)], False)
+    mesh.controller.best_setup_rate = 61.0  # 6.1 a second to each far end from all; in 2 s, three times 0.25 of it
+    mesh.controller.exchange_list_received(10, [ListEntry(1, 1, GwState.READY, 10)], False)
     for dialog in range(20):
         mesh.came(dialog, now=10)
     assert len([leg for leg in mesh.host.asked("send_leg") if leg[1] == 1]) == 9
@@ -95,7 +95,7 @@
 
 
 def test_a_turned_back_dialog_tries_the_other_tandem(mesh):
-    mesh.gws[1].group.told(0, 20)
+    mesh.gws[1].group.update(0, 20)
     mesh.came(0)
     first = mesh.host.asked("send_leg")[0][1]
     ended(mesh, 0, first, LegEnd.FULL, 100, rsn=Rsn.TANDEM_DECLINED)
@@ -104,7 +104,7 @@
 
 def test_a_cut_dialog_that_stood_is_over(mesh):
     mesh.came(0)
-    mesh.controller.dialog_stands(100, 0, 100)
+    mesh.controller.dialog_established(100, 0, 100)
     ended(mesh, 0, 1, LegEnd.CUT, 1_000, over=True)
     assert not mesh.controller.dialogs
     assert not mesh.host.asked("abort")
@@ -112,19 +112,19 @@
 
 def test_a_redial_keeps_the_first_tries_objective(mesh):
     mesh.controller.first_tried["same", 0, 1] = 0
-    mesh.controller.dialog_came(9_000, 1, 0, 1, 1, "same", 30_000, False, False, False)
+    mesh.controller.dialog_received(9_000, 1, 0, 1, 1, "same", 30_000, False, False, False)
     assert mesh.controller.dialogs[1].objective_at == 15_000
     assert mesh.controller.dialogs[1].redialled
 
 
 def test_a_blocked_dialog_waits_for_a_circuit_and_is_declined_within_its_objective(mesh):
     for gw in (1, 2, 3):
-        mesh.gws[gw].group.told(0, 20)
+        mesh.gws[gw].group.update(0, 20)
     mesh.came(0)
     mesh.came(1)
     assert not mesh.host.asked("decline")
-    mesh.controller.group_told(5_000, 1, 1, 20)
-    mesh.controller.beat(5_000)
+    mesh.controller.trunk_group_reported(5_000, 1, 1, 20)
+    mesh.controller.tick(5_000)
     assert [leg[:2] for leg in mesh.host.asked("send_leg")] == [(0, 1)]
     mesh.beats(15_000, 5_200)
     assert mesh.host.asked("decline") == [(1, 20_000)]
@@ -132,39 +132,39 @@
 
 def test_who_waits_goes_to_the_machine_that_holds_the_number_now(mesh):
     for gw in (1, 2, 3):
-        mesh.gws[gw].group.told(0, 20)
+        mesh.gws[gw].group.update(0, 20)
     mesh.came(0)
-    mesh.controller.list_pushed(100, [ListEntry(1, 1, GwState.DRAINING, 0), ListEntry(9, 1, GwState.READY, 0)], False)
-    mesh.controller.group_told(100, 9, 1, 20)
+    mesh.controller.exchange_list_received(100, [ListEntry(1, 1, GwState.DRAINING, 0), ListEntry(9, 1, GwState.READY, 0)], False)
+    mesh.controller.trunk_group_reported(100, 9, 1, 20)
     mesh.beats(600, 200)
     assert [leg[:2] for leg in mesh.host.asked("send_leg")] == [(0, 9)]
 
 
 def test_one_slow_answer_counts_half(mesh):
-    mesh.gws[1].answered(0, 8_000)
-    assert mesh.gws[1].expected(0) == 4_000
-    assert mesh.gws[1].expected(100_000) < 1_100
+    mesh.gws[1].record_setup(0, 8_000)
+    assert mesh.gws[1].expected_setup(0) == 4_000
+    assert mesh.gws[1].expected_setup(100_000) < 1_100
 
 
 def test_an_unanswered_leg_is_a_slow_answer_in_the_making(mesh):
     mesh.came(0)
-    assert mesh.gws[1].expected(9_000) == 9_000
+    assert mesh.gws[1].expected_setup(9_000) == 9_000
 
 
 def test_a_replaced_machines_drain_does_not_take_the_number_from_the_new_one(mesh):
-    mesh.controller.best_rate = 100.0
-    mesh.controller.list_pushed(10, [ListEntry(9, 1, GwState.READY, 10)], False)
-    mesh.controller.list_pushed(20, [ListEntry(1, 1, GwState.DRAINING, 0)], False)
-    mesh.controller.list_pushed(30, [ListEntry(1, 1, GwState.GONE, 0)], False)
-    mesh.controller.group_told(30, 9, 20, 20)
+    mesh.controller.best_setup_rate = 100.0
+    mesh.controller.exchange_list_received(10, [ListEntry(9, 1, GwState.READY, 10)], False)
+    mesh.controller.exchange_list_received(20, [ListEntry(1, 1, GwState.DRAINING, 0)], False)
+    mesh.controller.exchange_list_received(30, [ListEntry(1, 1, GwState.GONE, 0)], False)
+    mesh.controller.trunk_group_reported(30, 9, 20, 20)
     mesh.came(0, now=40)
     assert [leg[:2] for leg in mesh.host.asked("send_leg")] == [(0, 9)]
 
 
 def test_the_cold_budget_does_not_sink_with_service(mesh):
-    mesh.controller.stood_rate = 60.0
+    mesh.controller.setup_rate = 60.0
     mesh.beats(100_000)
-    assert mesh.controller.best_rate > 45 > mesh.controller.stood_rate
+    assert mesh.controller.best_setup_rate > 45 > mesh.controller.setup_rate
 
 
 @pytest.mark.parametrize("answered", [True, False])
@@ -173,88 +173,88 @@
     for dialog in (1, 2, 3):
         mesh.came(dialog, far=2, now=1_000)
         if answered:
-            mesh.controller.dialog_stands(1_500, dialog, 500)
+            mesh.controller.dialog_established(1_500, dialog, 500)
     mesh.beats(14_000, start=2_000)
     assert mesh.host.asked("cancel_leg") == ([(0, 0)] if answered else [])
 
 
 def test_a_tandem_that_carried_there_is_picked_before_others(mesh):
     controller = mesh.controller
-    mesh.gws[1].group.told(0, 20)
-    controller.carried[1] = [mesh.gws[3], mesh.gws[2]]
-    controller.turned_back[3, 1] = (60_000, 60_000)
+    mesh.gws[1].group.update(0, 20)
+    controller.proven_tandems[1] = [mesh.gws[3], mesh.gws[2]]
+    controller.tandem_backoffs[3, 1] = (60_000, 60_000)
     mesh.came(0)
     assert mesh.host.asked("send_leg")[0][1] == 2
     ended(mesh, 0, 2, LegEnd.FULL, 100, rsn=Rsn.TANDEM_DECLINED)
-    assert mesh.gws[2] not in controller.carried[1]
+    assert mesh.gws[2] not in controller.proven_tandems[1]
 
 
 def test_each_turn_back_in_a_row_is_remembered_twice_as_long(mesh):
-    mesh.gws[1].group.told(0, 20)
-    mesh.controller.turned_back[2, 1] = mesh.controller.turned_back[3, 1] = (0, 60_000)
+    mesh.gws[1].group.update(0, 20)
+    mesh.controller.tandem_backoffs[2, 1] = mesh.controller.tandem_backoffs[3, 1] = (0, 60_000)
     mesh.came(0)
     tandem = mesh.host.asked("send_leg")[0][1]
     ended(mesh, 0, tandem, LegEnd.FULL, 100, rsn=Rsn.TANDEM_DECLINED)
-    assert mesh.controller.turned_back[tandem, 1] == (120_100, 120_000)
+    assert mesh.controller.tandem_backoffs[tandem, 1] == (120_100, 120_000)
 
 
 def test_a_lost_answer_does_not_make_a_far_end_look_silent(mesh):
     far = mesh.gws[1]
     mesh.came(0)
     mesh.came(1, now=5_000)
-    assert far.expected(15_000) == 15_000
-    mesh.controller.dialog_stands(6_000, 1, 1_000)
-    assert far.expected(15_000) < 2_000
+    assert far.expected_setup(15_000) == 15_000
+    mesh.controller.dialog_established(6_000, 1, 1_000)
+    assert far.expected_setup(15_000) < 2_000
 
 
 def test_an_advised_tandem_is_one_of_the_two(mesh):
-    mesh.controller.list_pushed(0, [ListEntry(gw, gw, GwState.READY, 0) for gw in range(4, 9)], False)
+    mesh.controller.exchange_list_received(0, [ListEntry(gw, gw, GwState.READY, 0) for gw in range(4, 9)], False)
     for gw in range(4, 9):
-        mesh.controller.group_told(0, gw, 20, 20)
+        mesh.controller.trunk_group_reported(0, gw, 20, 20)
     d = Dialog(0, 0, 1, 1, "n", False, False, 30_000, 15_000, 0.5, 6)
-    assert all(mesh.gws[6] in mesh.controller._tandems(d) for _ in range(10))
+    assert all(mesh.gws[6] in mesh.controller._select_tandems(d) for _ in range(10))
 
 
 def test_the_cold_budget_of_all_proxies_holds_for_any_number_of_them():
     for proxies in (1, 3, 10, 60, 1_000):
         legs, usual, span = 0, 0.01, 10_000  # a hundred legs a second to each warm exchange
         for proxy in range(proxies):
-            ex = Exchange(1, TrunkGroup(Chance(proxy)), 0.4, 140_000, 2.5, span, proxies)
-            ex.listed(ListEntry(1, 1, GwState.READY, 1))
+            ex = Exchange(1, TrunkGroup(LinearCongruentialGenerator(proxy)), 0.4, 140_000, 2.5, span, proxies)
+            ex.update_entry(ListEntry(1, 1, GwState.READY, 1))
             for now in range(1, 60_001, 500):
-                if ex.cold_room(now, usual):
-                    ex.sent.append(now)
+                if ex.has_cold_budget(now, usual):
+                    ex.cold_legs.append(now)
                     legs += 1
         assert 0 < legs / 6 <= 3 * 0.4 * 2.5 * usual * span * 1.1
 
 
 def test_a_tandem_whose_proxy_told_of_no_room_is_skipped_and_silence_is_room(mesh):
-    mesh.gws[1].group.told(0, 20)
+    mesh.gws[1].group.update(0, 20)
     d = Dialog(0, 0, 1, 1, "n", False, False, 30_000, 15_000, 0.5, -1)
-    mesh.controller.peer_told(0, bytes([0, 2, 0b1000, 0]))
-    assert mesh.controller._tandems(d) == [mesh.gws[3]]
-    mesh.controller.peer_told(0, bytes([0, 2, 0b1010, 0]))
-    assert len(mesh.controller._tandems(d)) == 2
-    mesh.controller.peer_told(0, b"")
-    mesh.controller.peer_told(0, bytes([9, 9, 1, 1]))
+    mesh.controller.peer_report_received(0, bytes([0, 2, 0b1000, 0]))
+    assert mesh.controller._select_tandems(d) == [mesh.gws[3]]
+    mesh.controller.peer_report_received(0, bytes([0, 2, 0b1010, 0]))
+    assert len(mesh.controller._select_tandems(d)) == 2
+    mesh.controller.peer_report_received(0, b"")
+    mesh.controller.peer_report_received(0, bytes([9, 9, 1, 1]))
 
 
 def test_groups_with_room_for_two_leg_dialogs_are_told(mesh):
-    mesh.gws[1].group.told(0, 20)
-    mesh.gws[2].group.told(4, 20)
-    mesh.controller.widest = 2
-    mesh.controller.beat(0)
-    assert mesh.host.asked("tell_all") == [(bytes([0, 0, 0b1100, 0b1000]),)]
+    mesh.gws[1].group.update(0, 20)
+    mesh.gws[2].group.update(4, 20)
+    mesh.controller.max_circuits = 2
+    mesh.controller.tick(0)
+    assert mesh.host.asked("send_to_peers") == [(bytes([0, 0, 0b1100, 0b1000]),)]
 
 
 def test_a_waiting_wide_dialog_that_lacks_one_circuit_is_not_overtaken(mesh):
     for gw in (1, 2, 3):
-        mesh.gws[gw].group.told(1, 20)
+        mesh.gws[gw].group.update(1, 20)
     mesh.came(0, kind=1, width=2)
     mesh.came(1)
     assert not mesh.host.asked("send_leg")
-    mesh.controller.group_told(100, 1, 2, 20)
-    mesh.controller.beat(200)
+    mesh.controller.trunk_group_reported(100, 1, 2, 20)
+    mesh.controller.tick(200)
     assert [leg[0] for leg in mesh.host.asked("send_leg")] == [0]
 
 
@@ -268,22 +268,22 @@
 
 
 def test_a_dialog_without_an_own_group_tries_tandems_again_in_time(mesh):
-    mesh.gws[1].group.told(0, 0)
+    mesh.gws[1].group.update(0, 0)
     for gw in (2, 3):
-        mesh.gws[gw].group.told(0, 20)
+        mesh.gws[gw].group.update(0, 20)
     mesh.came(0)
     assert not mesh.host.asked("send_leg")
-    mesh.gws[2].group.told(20, 20)
+    mesh.gws[2].group.update(20, 20)
     mesh.beats(4_000, start=200)
     assert [leg[:2] for leg in mesh.host.asked("send_leg")] == [(0, 2)]
 
 
 def test_tandems_without_room_or_in_a_slow_network_are_not_picked(mesh):
     d = Dialog(0, 1, 1, 2, "n", False, False, 30_000, 15_000, 0.5, -1)
-    mesh.gws[2].group.told(1, 20)
-    assert mesh.controller._tandems(d) == [mesh.gws[3]]
-    mesh.controller.pace = 5_000.0
-    assert mesh.controller._tandems(d) == []
+    mesh.gws[2].group.update(1, 20)
+    assert mesh.controller._select_tandems(d) == [mesh.gws[3]]
+    mesh.controller.average_setup = 5_000.0
+    assert mesh.controller._select_tandems(d) == []
 
 
 def test_a_fault_in_signalling_is_followed_by_another_leg_and_busy_lines_are_not(mesh):
@@ -309,7 +309,7 @@
     assert len(mesh.host.asked("send_leg")) == before + 1
     for dialog in (21, 22, 23):
         mesh.came(dialog)
-        mesh.controller.dialog_stands(300, dialog, 100)
+        mesh.controller.dialog_established(300, dialog, 100)
     mesh.came(24)
     ended(mesh, 24, 1, LegEnd.BUSY, 400)
     assert [leg[0] for leg in mesh.host.asked("send_leg")].count(24) == 2
@@ -324,35 +324,37 @@
 def test_signs_of_pressure_fade_by_the_shortest_objective(mesh):
     """Where objectives are a quarter, one full processor kept nearly all dialogs back for two seconds, while legs there
     were answered in 22 ms."""
-    assert mesh.controller.ease == 10_000
-    mesh.controller.types = [kind._replace(setup_objective=kind.setup_objective // 4) for kind in mesh.controller.types]
+    assert mesh.controller.half_life == 10_000
+    mesh.controller.traffic_types = [
+        kind._replace(setup_objective=kind.setup_objective // 4) for kind in mesh.controller.traffic_types
+    ]
     quick = type(mesh.controller)(
         mesh.host,
         7,
         0,
         4,
-        mesh.controller.types,
+        mesh.controller.traffic_types,
         release_guard=1_000,
-        most_legs=4,
-        longest_hold_off=0,
-        may_cancel=True,
-        must_ask=False,
-        may_tell=False,
-        centre_advises=False,
-        cold_from=0.4,
+        max_legs=4,
+        max_hold_off=0,
+        can_cancel_legs=True,
+        must_subscribe=False,
+        can_message_peers=False,
+        has_route_advice=False,
+        cold_share=0.4,
         warm_after=140_000,
-        multiple=2.5,
-        fall_span=1,
+        overload_factor=2.5,
+        overload_span=1,
     )
-    quick.list_pushed(0, [ListEntry(gw, gw, GwState.READY, 0) for gw in range(4)], True)
+    quick.exchange_list_received(0, [ListEntry(gw, gw, GwState.READY, 0) for gw in range(4)], True)
     for controller, later in ((mesh.controller, 10_000), (quick, 2_500)):
-        controller.group_told(0, 1, 20, 20)
-        controller.dialog_came(0, 0, 0, 1, 1, "n", 30_000, False, False, False)
+        controller.trunk_group_reported(0, 1, 20, 20)
+        controller.dialog_received(0, 0, 0, 1, 1, "n", 30_000, False, False, False)
         controller.leg_ended(0, 0, 1, LegEnd.UNREACHABLE, Rsn.NONE, False, 20, 20)
-        ex = controller.gws[1]
-        assert ex.expected(0) == controller.types[0].setup_objective
-        assert abs(ex.expected(later) - ex.quickest - (ex.took - ex.quickest) / 2) < 20
-        assert 0 < ex.pressed_until <= 2 * later
+        ex = controller.exchanges[1]
+        assert ex.expected_setup(0) == controller.traffic_types[0].setup_objective
+        assert abs(ex.expected_setup(later) - ex.fastest_setup - (ex.recent_setup - ex.fastest_setup) / 2) < 20
+        assert 0 < ex.overloaded_until <= 2 * later
 
 
 def test_full_processors_in_a_row_hold_back_more_and_one_alone_little(mesh):
@@ -361,10 +363,10 @@
     held = []
     for dialog in range(6):
         d = Dialog(0, 0, 1, 1, "n", False, False, 30_000, 15_000, 0.5, -1)
-        held.append(mesh.controller._kept_back(d, mesh.gws[1]))
+        held.append(mesh.controller._is_held_back(d, mesh.gws[1]))
         mesh.controller.dialogs[dialog] = d
         ended(mesh, dialog, 1, LegEnd.FULL, 0, Rsn.PROCESSOR_FULL)
-        mesh.controller.fulls = 0  # far ends apart: the own processor is judged by all of them
+        mesh.controller.consecutive_full = 0  # far ends apart: the own processor is judged by all of them
     assert not held[1] and held[-1] and held == sorted(held)
 
 
@@ -385,10 +387,10 @@
     mesh.beats(4_000, 200)
     assert len(mesh.host.asked("send_leg")) == 1
     assert len(mesh.host.asked("decline")) == 1
-    mesh.gws[1].group.told(0, 20)
+    mesh.gws[1].group.update(0, 20)
     mesh.came(1)
     mesh.controller.caller_done(4_000, 1)
     mesh.came(2, far=3, now=4_000)
     mesh.controller.caller_done(4_000, 2)
-    mesh.controller.dialog_stands(4_100, 2, 100)
-    assert mesh.controller.dialogs[2].stands
+    mesh.controller.dialog_established(4_100, 2, 100)
+    assert mesh.controller.dialogs[2].established
--- a/tests/test_service_calls.py
+++ b/tests/test_service_calls.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import Bundle, RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from gingergap.brain import BEAT
+from gingergap.call_controller import TICK_INTERVAL
 from gingergap.facts import BadFactError
 from gingergap.host import GwState
 from gingergap.service.calls import Calls
@@ -149,7 +149,7 @@
     came(calls)
     assert not wire.sent("INVITE")
     calls.link_lost(START + 10, 1, False)
-    assert calls.controller.gws[1].pressed_until > START
+    assert calls.controller.exchanges[1].overloaded_until > START
     assert [line["cause"] for line in wire.told("a" * 16)] == [34]  # nothing ran: it may be declined at once
 
 
@@ -283,7 +283,7 @@
     for place in range(50):
         came(calls, id=f"{place:016x}", conn=place)
         calls.conn_gone(START, place)
-    assert all(not ex.pressed_until and not ex.out for ex in calls.controller.gws.values())
+    assert all(not ex.overloaded_until and not ex.legs_out for ex in calls.controller.exchanges.values())
     assert not calls.by_id and not calls.by_dialog and not calls.controller.dialogs
 
 
@@ -474,7 +474,7 @@
     calls = made(wire)
     came(calls, **changes)
     assert wire.told("a" * 16)[0]["cause"] == 100
-    assert not calls.controller.dialogs and calls.controller.widest == 1
+    assert not calls.controller.dialogs and calls.controller.max_circuits == 1
 
 
 def test_calls_from_before_the_start_end_towards_their_callers_and_can_be_ended_by_them():
@@ -504,11 +504,11 @@
     calls = made(wire)
     calls.listed(START, False, [("s-1b", 1, GwState.READY, START), ("s-1", 1, GwState.DRAINING, 0)])
     calls.reported(START, 1, {"idle": 3, "circuits": 40})
-    assert calls.controller.gws[4].group.free == 3
+    assert calls.controller.exchanges[4].group.free == 3
     calls.listed(START, False, [("s-1", 1, GwState.GONE, 0)])
     calls.reported(START, 4, {"idle": 5, "circuits": 40})
     calls.reported(START, 1, {"idle": 9, "circuits": 40})
-    assert calls.controller.gws[4].group.free == 5 and calls.by_number[1] == [4]
+    assert calls.controller.exchanges[4].group.free == 5 and calls.by_number[1] == [4]
 
 
 def test_what_stood_at_a_machine_before_it_started_anew_is_over():
@@ -651,7 +651,7 @@
 
     @invariant()
     def all_have_their_answer_in_time_at_an_end(self):
-        if hasattr(self, "calls") and self.ending is not None and self.now > self.ending.answer_by + 2 * BEAT:
+        if hasattr(self, "calls") and self.ending is not None and self.now > self.ending.answer_by + 2 * TICK_INTERVAL:
             assert not any(self.calls.on_conn.values())
 
     @rule(ms=st.integers(1, 300))
--- a/tests/test_service_shutdown.py
+++ b/tests/test_service_shutdown.py
@@ -19,7 +19,7 @@
 def test_the_controller_answers_all_by_the_time_given_and_declines_what_comes_later(mesh, waits):
     if waits:
         for gw in (1, 2, 3):
-            mesh.controller.group_told(0, gw, 0, 20)
+            mesh.controller.trunk_group_reported(0, gw, 0, 20)
     mesh.came(1, expires_in=90_000)
     mesh.controller.shut_down(1_000, 7_500, 12_000)
     mesh.came(2, now=2_000, expires_in=90_000)
--- a/tests/test_spans.py
+++ b/tests/test_spans.py
@@ -32,12 +32,12 @@
     (trace,) = opened([written(tmp_path, header, tape.records, each=150)])
     records = [entry.record for entry in trace.entries()]
     found = list(trees(trace))
-    arrivals = [record for record in records if record[0] == CODES["dialog_came"]]
+    arrivals = [record for record in records if record[0] == CODES["dialog_received"]]
     assert len(found) == len(arrivals) == len({tree.trace_id for tree in found})
     legs = 0
     for tree in found:
         root, *rest = tree.spans
-        assert records[root.place][:3] == [CODES["dialog_came"], root.begin, root.fields["dialog"]]
+        assert records[root.place][:3] == [CODES["dialog_received"], root.begin, root.fields["dialog"]]
         for span in rest:
             assert span.parent == root.id and root.begin <= span.begin <= span.end
             if span.name == "leg":
@@ -86,21 +86,21 @@
     crossed = crossing("z9hG4bKone")
     rows = {
         "p0": [
-            [CODES["list_pushed"], 1, [[1, 1, 2, 0], [2, 2, 2, 0]], True],
-            [CODES["dialog_came"], 10, 0, 0, 1, 1, "n", 30_000, False, False, False, -1],
+            [CODES["exchange_list_received"], 1, [[1, 1, 2, 0], [2, 2, 2, 0]], True],
+            [CODES["dialog_received"], 10, 0, 0, 1, 1, "n", 30_000, False, False, False, -1],
             [CODES["send_leg"], 0, 2, 900],
             [CODES["sent"], 10, crossed, 0],
             [CODES["came"], 300, answer_to(crossed), 0],
-            [CODES["dialog_stands"], 300, 0, 290],
+            [CODES["dialog_established"], 300, 0, 290],
             [CODES["leg_ended"], 900, 0, 2, 0, 0, True, 5, 9],
         ],
         "p2": [
-            [CODES["list_pushed"], 1, [[1, 1, 2, 0]], True],
+            [CODES["exchange_list_received"], 1, [[1, 1, 2, 0]], True],
             [CODES["came"], 60, crossed, 7],
-            [CODES["dialog_came"], 60, 7, 0, 1, 1, "n", 30_000, True, False, False, -1],
+            [CODES["dialog_received"], 60, 7, 0, 1, 1, "n", 30_000, True, False, False, -1],
             [CODES["send_leg"], 7, 1, 800],
             [CODES["sent"], 250, answer_to(crossed), 7],
-            [CODES["dialog_stands"], 250, 7, 190],
+            [CODES["dialog_established"], 250, 7, 190],
             [CODES["leg_ended"], 880, 7, 1, 0, 0, True, 5, 9],
         ],
     }
@@ -140,7 +140,7 @@
     for place in places:
         name, _, at = place.partition(":")
         record = tape.records[int(at) + (half if name.endswith("001.trace") else 0)]
-        assert record[0] == CODES["dialog_came"]
+        assert record[0] == CODES["dialog_received"]
     text = figures.text()
     counted = sum(float(line.rpartition(" ")[2]) for line in text.splitlines() if line.startswith("gingergap_dialogs_total{"))
     ended = sum(story.final != "open" for story in stories_of(trace)) - sum(
@@ -161,7 +161,7 @@
         for dialog in range(3):
             stories.take(
                 [
-                    [CODES["dialog_came"], 10, dialog, 0, 1, 1, "n", 30_000, False, False, False, -1],
+                    [CODES["dialog_received"], 10, dialog, 0, 1, 1, "n", 30_000, False, False, False, -1],
                     [CODES["decline"], dialog, 0],
                     ["gap", 1, 2, 3],
                 ]
@@ -173,7 +173,11 @@
     counted = []
     stories = LiveStories(Source("m", "e", "p", 0.0, 0, FIGURES), structlog.get_logger(), [counted.append])
     stories.take(
-        [[CODES["dialog_came"], 10, 1, 0, 1, 1, "n", 30_000, False, False, False, -1], ["gap", 11, 20, 3], [CODES["decline"], 1, 0]]
+        [
+            [CODES["dialog_received"], 10, 1, 0, 1, 1, "n", 30_000, False, False, False, -1],
+            ["gap", 11, 20, 3],
+            [CODES["decline"], 1, 0],
+        ]
     )
     assert [story.final for story in counted] == ["open"] and stories.stories.held == {}
 
@@ -233,7 +237,7 @@
             assert not legs and peers.finals(call) == [503]
         assert notes(tape, "sent")[-1][1] == answer_to(ids[1])
     events = [record[0] for record in tape.records]
-    came, arrived = events.index(CODES["came"]), events.index(CODES["dialog_came"])
+    came, arrived = events.index(CODES["came"]), events.index(CODES["dialog_received"])
     assert came < arrived  # else what the arrival sets off could stand before what it came by
 
 
@@ -250,7 +254,7 @@
     ]
     peers.come(message, Hop("UDP", "127.0.0.1", 7100))
     assert notes(tape, "came") == [[0, crossing("word1"), -1]]
-    peers.proxy.tell_all(b"\0\1\2\3")
+    peers.proxy.send_to_peers(b"\0\1\2\3")
     told = {crossing(message.call_id) for message in peers.all("MESSAGE")}
     assert told == {note[1] for note in notes(tape, "sent")} and told
 
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -11,8 +11,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gingergap import brain
-from gingergap.brain import CallController
+from gingergap import call_controller
+from gingergap.call_controller import CallController
 from gingergap.cli.main import main
 from gingergap.edge.serve import proxy_of
 from gingergap.settings.edge import EdgeForm
@@ -52,7 +52,7 @@
     return tape, Header(FORMAT, module_digest(), "e1", "p0", 0.0, 0, peers.proxy.figures)
 
 
-def replayed(header, records, module=brain):
+def replayed(header, records, module=call_controller):
     """All records through one replay."""
     done = Replay(header, True, module)
     for record in records:
@@ -93,7 +93,7 @@
 class Timid(CallController):
     """A module that decides otherwise in one case: no tandem is ever tried."""
 
-    def _tandems(self, d):
+    def _select_tandems(self, dialog):
         return []
 
 
@@ -119,7 +119,7 @@
 def test_a_file_cut_or_changed_anywhere_is_read_up_to_the_break(tmp_path_factory, place, cut, bit):
     folder = tmp_path_factory.mktemp("cut")
     records = list(
-        itertools.chain.from_iterable(([CODES["beat"], 200 * number], [CODES["wake_after"], 200]) for number in range(300))
+        itertools.chain.from_iterable(([CODES["tick"], 200 * number], [CODES["schedule_tick"], 200]) for number in range(300))
     )
     header = Header(FORMAT, "m", "e", "i", 0.0, 0, {})
     path = written(folder, header, records, each=50)
@@ -156,7 +156,7 @@
 
 
 def test_a_newer_format_is_refused_in_a_line_and_left_alone(tmp_path):
-    path = written(tmp_path, Header(FORMAT + 1, "m", "e", "i", 0.0, 0, {}), [[CODES["beat"], 1]])
+    path = written(tmp_path, Header(FORMAT + 1, "m", "e", "i", 0.0, 0, {}), [[CODES["tick"], 1]])
     before = path.read_bytes()
     result = CliRunner().invoke(main, ["trace", "info", str(path)])
     assert result.exit_code == 2 and "newer" in result.stderr and len(result.stderr.splitlines()) == 1
@@ -169,7 +169,7 @@
     unpacked, unpack = [], Trace.unpacked
     monkeypatch.setattr(Trace, "unpacked", lambda self, *what: unpacked.append(1) or unpack(self, *what))
     found = [entry.record for entry in select(trace, dialog=5)]
-    assert found[0][0] == CODES["dialog_came"] and found[0][2] == 5
+    assert found[0][0] == CODES["dialog_received"] and found[0][2] == 5
     assert 0 < len(unpacked) < len(trace.places())
     everything = [
         list(record)
@@ -186,14 +186,14 @@
 def test_a_tape_that_is_full_loses_whole_events_and_counts_them():
     tape = Tape(most=4)
     for now in range(5):
-        tape.event((CODES["beat"], now))
-        tape.action((CODES["wake_after"], 200))
+        tape.event((CODES["tick"], now))
+        tape.action((CODES["schedule_tick"], 200))
     tape.note("remark", 5, "no room for this")
     records, gaps = tape.take()
     assert len(records) == 4 and gaps == [(4, 2, 4, 3)]
     tape.state = lambda: b"as it is"
-    tape.event((CODES["beat"], 9))
-    assert tape.take() == ([(SNAPSHOT, 9, b"as it is"), (CODES["beat"], 9)], [])
+    tape.event((CODES["tick"], 9))
+    assert tape.take() == ([(SNAPSHOT, 9, b"as it is"), (CODES["tick"], 9)], [])
 
 
 def recorder(tmp_path, tape, header, **more):
@@ -245,7 +245,7 @@
     one = recorder(tmp_path, tape, Header(FORMAT, "m", "e1", "p0", 0.0, 0, {}), lasts=1_000, clock=lambda: now[0])
     tape.state = lambda: b"state"
     for now[0] in range(0, 3_000, 100):
-        tape.event((CODES["beat"], now[0]))
+        tape.event((CODES["tick"], now[0]))
         one.step()
     one.close()
     assert len(list(one.folder.glob("*.trace"))) == 3
@@ -257,7 +257,7 @@
     tape.state = lambda: b"state"
     for begun in range(0, 3_000, 300):
         for now in range(begun, begun + 300):
-            tape.event((CODES["beat"], now * 7919 % 100_003))
+            tape.event((CODES["tick"], now * 7919 % 100_003))
         one.step()
     (one.folder / "q0-e1-000.trace").write_bytes(b"another instance's")
     before = len(list(one.folder.glob("p0-*.trace")))
@@ -291,12 +291,12 @@
     inner, one.writer.file = one.writer.file, Disk()
     for now in range(6):
         full[0] = 2 <= now < 4
-        tape.event((CODES["beat"], now * 100))
+        tape.event((CODES["tick"], now * 100))
         one.step()
     one.close()
     reader = Reader(next(one.folder.glob("*.trace")))
     found = list(reader.records())
-    assert [record[1] for record in found if record[0] == CODES["beat"]] == [0, 100, 400, 500]
+    assert [record[1] for record in found if record[0] == CODES["tick"]] == [0, 100, 400, 500]
     assert [record[:2] for record in found if record[0] == SNAPSHOT] == [[SNAPSHOT, 400]]
     lost = [record for record in found if record[0] == "gap"]
     assert lost == [["gap", 200, 300, 2]]
@@ -391,13 +391,13 @@
     tape.records, tape.state = [], lambda: freeze(behind.controller)
     tape.switch(False)
     for now in range(3):
-        tape.event((CODES["beat"], 100_000 + now))
-        tape.action((CODES["wake_after"], 200))
+        tape.event((CODES["tick"], 100_000 + now))
+        tape.action((CODES["schedule_tick"], 200))
     tape.note("remark", 100_003, "unheard")
     tape.switch(True)
-    tape.event((CODES["beat"], 100_010))
+    tape.event((CODES["tick"], 100_010))
     found, gaps = tape.take()
-    assert [record[0] for record in found] == [SNAPSHOT, CODES["beat"]] and gaps == [(0, 100_000, 100_002, 3)]
+    assert [record[0] for record in found] == [SNAPSHOT, CODES["tick"]] and gaps == [(0, 100_000, 100_002, 3)]
     assert records
 
 
@@ -407,7 +407,7 @@
     runner = CliRunner()
     assert "in order" in runner.invoke(main, ["trace", "info", str(path)]).output
     shown = runner.invoke(main, ["trace", "show", str(path), "--dialog", "3"])
-    assert shown.exit_code == 0 and "dialog_came(" in shown.output
+    assert shown.exit_code == 0 and "dialog_received(" in shown.output
     done = runner.invoke(main, ["trace", "replay", str(path)])
     assert done.exit_code == 0 and "decisions compared" in done.output
     wrong = [*tape.records]
--- a/tests/test_trace_causes.py
+++ b/tests/test_trace_causes.py
@@ -179,9 +179,9 @@
     def __init__(self):
         self.tally = Tally([Header(FORMAT, "m", "e", "p", 0.0, 0, FIGURES)], SPAN)
         self.now, self.dialogs = 0, 0
-        self.put("list_pushed", 0, [[number, number, int(GwState.READY), 0] for number in range(4)], True)
+        self.put("exchange_list_received", 0, [[number, number, int(GwState.READY), 0] for number in range(4)], True)
         for number in (1, 2, 3):
-            self.put("group_told", 0, number, 20, 20)
+            self.put("trunk_group_reported", 0, number, 20, 20)
 
     def put(self, name, *fields):
         self.tally.take(Entry(0, self.now, [CODES[name], *fields]))
@@ -189,19 +189,19 @@
     def beats(self, until):
         while self.now + 200 <= until:
             self.now += 200
-            self.put("beat", self.now)
+            self.put("tick", self.now)
         self.now = max(self.now, until)
 
     def came(self, far, transit=False, redialled=False):
         self.dialogs += 1
-        self.put("dialog_came", self.now, self.dialogs, 0, far, 1, "n", 30_000, transit, redialled, False, -1)
+        self.put("dialog_received", self.now, self.dialogs, 0, far, 1, "n", 30_000, transit, redialled, False, -1)
         return self.dialogs
 
     def sent(self, dialog, gw):
         self.put("send_leg", dialog, gw, 20_000)
 
     def stands(self, dialog):
-        self.put("dialog_stands", self.now, dialog, 100)
+        self.put("dialog_established", self.now, dialog, 100)
 
     def ended(self, dialog, gw, how, rsn=0, free=20, over=False):
         self.put("leg_ended", self.now, dialog, gw, int(how), int(rsn), over, free, 20)
@@ -288,7 +288,7 @@
 def test_a_full_group_and_a_kept_back_dialog_are_told_apart():
     told = Told()
     told.calm(4)
-    told.put("group_told", told.now, 1, 0, 20)
+    told.put("trunk_group_reported", told.now, 1, 0, 20)
     for _ in range(12):
         told.put("decline", told.came(1), 0)
         told.beats(told.now + 2_000)
@@ -312,7 +312,7 @@
         told.sent(dialog, 1)
         told.ended(dialog, 1, LegEnd.BUSY, Rsn.LINES_BUSY)
         told.put("decline", dialog, 0)
-        told.put("dialog_gone", told.now, told.came(2))
+        told.put("dialog_cancelled", told.now, told.came(2))
         told.beats(told.now + 2_000)
     assert causes_of(told) == []
 
@@ -327,7 +327,7 @@
         told.ended(dialog, 2, LegEnd.UNREACHABLE)
         told.put("decline", dialog, 0)
         told.beats(told.now + 3_000)
-    told.put("list_pushed", told.now, [[2, 2, int(GwState.READY), begun]], False)
+    told.put("exchange_list_received", told.now, [[2, 2, int(GwState.READY), begun]], False)
     told.calm(3)
     (stretch,) = causes_of(told)
     assert stretch.cause == LIST
--- a/tests/test_trace_tools.py
+++ b/tests/test_trace_tools.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from test_trace import busy, replayed, written  # noqa: F401 - busy is a fixture
 
-from gingergap import brain
+from gingergap import call_controller
 from gingergap.cli.main import main
 from gingergap.trace import format as trace_format
 from gingergap.trace.anonymise import Numbers, anonymise, own_words
@@ -27,7 +27,7 @@
 from gingergap.trace.stream import Entry, opened
 from gingergap.trace.window import dialog_of
 
-BEAT, SENT, CAME = CODES["beat"], CODES["sent"], CODES["came"]
+TICK, SENT, CAME = CODES["tick"], CODES["sent"], CODES["came"]
 
 
 def with_states(header, records, every):
@@ -203,11 +203,11 @@
         happened.append((sent, sender, SENT, crossed))
         if draw.random() >= lost:
             happened.append((sent + 1 + int(draw.expovariate(1 / 30)), receiver, CAME, crossed))
-    happened += [(now, place, BEAT, b"") for now in range(0, 100_000, 500) for place in range(3)]
+    happened += [(now, place, TICK, b"") for now in range(0, 100_000, 500) for place in range(3)]
     happened.sort(key=lambda one: (one[0], one[2] != SENT))
     for now, place, code, crossed in happened:
         clock = now + (int(skew + drift * now / 10_000) if place == 1 else 0)
-        records[place] += [[code, clock]] if code == BEAT else [[code, clock, crossed, -1]]
+        records[place] += [[code, clock]] if code == TICK else [[code, clock, crossed, -1]]
     for place in range(3):
         cuts = [(0, 45_000), (55_000, 1 << 40)] if restart and place == 2 else [(-1 << 40, 1 << 40)]
         for life, (low, high) in enumerate(cuts):
@@ -347,9 +347,10 @@
 def test_no_number_is_left_anywhere_and_every_decision_is_the_same(busy, tmp_path):  # noqa: F811
     tape, header = busy
     grown = [
-        [*record[:6], f"27{record[6]}55", *record[7:]] if record[0] == CODES["dialog_came"] else record for record in tape.records
+        [*record[:6], f"27{record[6]}55", *record[7:]] if record[0] == CODES["dialog_received"] else record
+        for record in tape.records
     ]
-    called = sorted({record[6] for record in grown if record[0] == CODES["dialog_came"]})
+    called = sorted({record[6] for record in grown if record[0] == CODES["dialog_received"]})
     records = with_states(header, grown, 25)
     records.insert(40, [CODES["remark"], records[39][1], f"lines dead at {called[3]}, and at +{called[5]} since 09:14"])
     header = trace_format.msgspec.structs.replace(header, instance=f"p{called[0]}")
@@ -363,9 +364,9 @@
     remark = next(entry.record[2] for entry in trace.entries() if entry.record[0] == CODES["remark"])
     assert remark.startswith("lines dead at ") and remark.endswith(" since 09:14")
     states = [state_of(entry.record[2]) for entry in trace.entries() if entry.record[0] == SNAPSHOT]
-    held = {dialog.number for state in states for dialog in state["dialogs"].values()}
+    held = {dialog.caller_number for state in states for dialog in state["dialogs"].values()}
     assert held and held <= {Numbers(KEY).number(number) for number in called}
-    assert {what for state in states for _, _, what in state["due"]} <= own_words()
+    assert {what for state in states for _, _, what in state["timers"]} <= own_words()
 
 
 def test_a_replay_from_an_anonymised_state_goes_on_as_before(busy, tmp_path):  # noqa: F811
@@ -381,7 +382,7 @@
 
 def test_a_state_that_cannot_be_read_is_not_passed_on(tmp_path, busy):  # noqa: F811
     _, header = busy
-    path = written(tmp_path, header, [[SNAPSHOT, 1, b"junk"], [BEAT, 2]])
+    path = written(tmp_path, header, [[SNAPSHOT, 1, b"junk"], [TICK, 2]])
     with pytest.raises(BadTraceError, match="not known which numbers"):
         anonymise(opened([path])[0], Numbers(KEY), tmp_path / "out")
 
@@ -389,18 +390,18 @@
 # --- compare and diff ---
 
 TIMID = """
-from .brain import *  # noqa
-from . import brain
-Chance, TrunkGroup, Exchange, Dialog = (type(name, (getattr(brain, name),), {"__module__": __name__}
+from .call_controller import *  # noqa
+from . import call_controller
+LinearCongruentialGenerator, TrunkGroup, Exchange, Dialog = (type(name, (getattr(call_controller, name),), {"__module__": __name__}
                                         | ({"__slots__": ()} if name == "Dialog" else {}))
-                                        for name in ("Chance", "TrunkGroup", "Exchange", "Dialog"))
+                                        for name in ("LinearCongruentialGenerator", "TrunkGroup", "Exchange", "Dialog"))
 
 
-class CallController(brain.CallController):
-    def _send(self, dialog, d, ex):
-        if dialog % 5 == 0 and not d.legs:
+class CallController(call_controller.CallController):
+    def _send(self, dialog_index, dialog, exchange):
+        if dialog_index % 5 == 0 and not dialog.legs_sent:
             return False
-        return super()._send(dialog, d, ex)
+        return super()._send(dialog_index, dialog, exchange)
 """
 
 
@@ -418,7 +419,7 @@
     stood = [one for one in stories if one.final == STOOD and one.dialog % 5 == 0]
     declined = [name for name in found.kinds if name == "send_leg -> decline"]
     assert lost <= len(stood) and (lost > 0) == bool(declined and stood)
-    same = compare(trace.sources, trace.entries(), True, brain)
+    same = compare(trace.sources, trace.entries(), True, call_controller)
     assert same.kinds == {} and same.stood == found.stood > 0
 
 
@@ -427,7 +428,7 @@
     records = [[CODES["abort"], record[1]] if record[0] == CODES["decline"] else record for record in tape.records]
     (trace,) = opened([written(tmp_path, header, records)])
     with pytest.raises(BadTraceError, match="does not decide as was noted"):
-        compare(trace.sources, trace.entries(), True, brain)
+        compare(trace.sources, trace.entries(), True, call_controller)
 
 
 @pytest.mark.parametrize("text", ["this is no Python", "x = 1", "raise OSError('no')"])
@@ -440,11 +441,11 @@
 
 
 def test_differences_have_plain_names():
-    send, decline, wake = CODES["send_leg"], CODES["decline"], CODES["wake_after"]
+    send, decline, wake = CODES["send_leg"], CODES["decline"], CODES["schedule_tick"]
     assert [row[0] for row in kinds_of([[send, 1, 2, 9]], [[send, 1, 3, 9]])] == ["leg to another exchange"]
     assert [row[0] for row in kinds_of([[send, 1, 2, 9]], [[send, 1, 2, 8]])] == ["other figures in send_leg"]
     assert [row[0] for row in kinds_of([[send, 1, 2, 9]], [[decline, 1, 0]])] == ["send_leg -> decline"]
-    assert [row[0] for row in kinds_of([[wake, 200]], [])] == ["wake_after -> nothing yet"]
+    assert [row[0] for row in kinds_of([[wake, 200]], [])] == ["schedule_tick -> nothing yet"]
     assert [row[0] for row in kinds_of([[send, 1, 2, 9], [decline, 2, 0]], [[decline, 2, 0], [send, 1, 2, 9]])] == [
         "other order of the same"
     ]
