--- a/gingergap/benchlink/__main__.py
+++ b/gingergap/benchlink/__main__.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable
 from typing import Any, TextIO
 
-from ..facts import BadFactError
+from ..platform_settings import BadFieldError
 from .codec import BadLineError, decode, encode
 from .proxy import Proxy
 
@@ -37,7 +37,7 @@
         else:
             try:
                 _take(proxies, msg, now, lists, out)
-            except BadFactError as bad:
+            except BadFieldError as bad:
                 raise BadLineError(f"line {number}: {event}: {bad}") from None
             except Exception as error:  # the module failed: the wire has an action for that
                 print(f"{msg['Proxy']}: {event}: {error!r}", file=sys.stderr)
--- a/gingergap/benchlink/codec.py
+++ b/gingergap/benchlink/codec.py
@@ -3,7 +3,7 @@
 import json
 from typing import Any
 
-from ..facts import NUMBER, BadFactError, is_a
+from ..platform_settings import NUMBER, BadFieldError, has_type
 
 REQUIRED: dict[str, dict[str, Any]] = {
     "Tick": {"Time": int},
@@ -39,7 +39,7 @@
 ENTRY_OPTIONAL: dict[str, Any] = {"Dc": int, "Model": int, "Weight": NUMBER, "Born": int}
 
 
-class BadLineError(BadFactError):
+class BadLineError(BadFieldError):
     """A line that the wire does not allow."""
 
 
@@ -47,12 +47,12 @@
     for field, kind in required.items():
         if field not in msg:
             raise BadLineError(f"{where}: field {field} is missing")
-        if not is_a(msg[field], kind):
+        if not has_type(msg[field], kind):
             raise BadLineError(f"{where}: field {field} is ill-typed")
     for field, value in msg.items():
         if field in required or field not in optional or value is None:
             continue
-        if not is_a(value, optional[field]):
+        if not has_type(value, optional[field]):
             raise BadLineError(f"{where}: field {field} is ill-typed")
 
 
@@ -78,7 +78,7 @@
             _check(entry, ENTRY, ENTRY_OPTIONAL, f"line {number}: Manifest: Records[{place}]")
     elif msg.get("ServerStats"):
         for field, value in msg["ServerStats"].items():
-            if not is_a(value, NUMBER):
+            if not has_type(value, NUMBER):
                 raise BadLineError(f"line {number}: {name}: field ServerStats.{field} is ill-typed")
     return msg
 
--- a/gingergap/benchlink/proxy.py
+++ b/gingergap/benchlink/proxy.py
@@ -4,8 +4,8 @@
 from typing import Any
 
 from ..call_controller import CallController
-from ..facts import UNIT, Facts, at_most, circuits_in, controller_facts, gw_state, rsn_of
 from ..host import LegEnd, ListEntry
+from ..platform_settings import UNIT_US, SettingsReader, circuits_in_report, controller_arguments, gw_state, max_duration, rsn_of
 from .codec import BadLineError, encode
 
 LEG_ENDS = {
@@ -48,23 +48,23 @@
         self.legs_out: dict[int, int] = {}
         self.ended: set[int] = set()
         self.dialogs = 0
-        start = Facts(facts, "Facts")
-        self.tells_wait = start.part("Specifics").get("GivesWait", bool, False)
-        here, proxies, types, figures = controller_facts(start)
+        start = SettingsReader(facts, "Facts")
+        self.tells_wait = start.section("Specifics").get("GivesWait", bool, False)
+        here, proxies, types, figures = controller_arguments(start)
         self.controller = make(self, seed, here, proxies, types, **figures)
-        self.controller.start(now_us // UNIT)
+        self.controller.start(now_us // UNIT_US)
 
     # --- what the controller asks for ---
 
     def send_leg(self, dialog: int, gw: int, limit: int) -> None:
         self.legs_out[dialog] += 1
-        self._act("CallOut", Rid=self.rid_of[dialog], Switch=self.switch_of[gw], Timeout=limit * UNIT)
+        self._act("CallOut", Rid=self.rid_of[dialog], Switch=self.switch_of[gw], Timeout=limit * UNIT_US)
 
     def cancel_leg(self, dialog: int, leg: int) -> None:
         self._act("UndoSend", Rid=self.rid_of[dialog], Attempt=leg)
 
     def decline(self, dialog: int, hold_off: int) -> None:
-        self._act("NotNow", Rid=self.rid_of[dialog], HoldOff=hold_off * UNIT)
+        self._act("NotNow", Rid=self.rid_of[dialog], HoldOff=hold_off * UNIT_US)
         self._ended(dialog)
 
     def abort(self, dialog: int) -> None:
@@ -72,7 +72,7 @@
         self._ended(dialog)
 
     def schedule_tick(self, delay: int) -> None:
-        self._act("Remind", FromNow=delay * UNIT, Cookie="beat")
+        self._act("Remind", FromNow=delay * UNIT_US, Cookie="beat")
 
     def send_to_peers(self, told: bytes) -> None:
         self._act("Say", To=-1, Bytes=told.hex())
@@ -83,14 +83,14 @@
     # --- what the wire tells ---
 
     def take(self, msg: dict[str, Any], now_us: int, lists: dict[int, list[dict[str, Any]]]) -> None:
-        now = now_us // UNIT
+        now = now_us // UNIT_US
         match msg["t"]:
             case "Knock":
                 self._knock(msg, now)
             case "Headers":
                 dialog = self.dialog_of.get(msg["Rid"])
                 if dialog is not None:
-                    self.controller.dialog_established(now, dialog, at_most(msg.get("TimeTaken") or 0))
+                    self.controller.dialog_established(now, dialog, max_duration(msg.get("TimeTaken") or 0))
             case "Result":
                 self._result(msg, now)
             case "CancelledByClient":
@@ -132,7 +132,7 @@
             int(msg["FarEnd"]),
             int(msg["SlotsNeeded"]),
             msg.get("Subject") or "",
-            at_most(msg["ExpiresIn"]),
+            max_duration(msg["ExpiresIn"]),
             bool(marks & IN_TRANSIT),
             bool(marks & REDIALLED),
             bool(marks & WAS_CUT),
@@ -157,12 +157,12 @@
 
     def _entry(self, entry: dict[str, Any]) -> ListEntry:
         return ListEntry(
-            self._gw(entry["Switch"]), entry["NodeNo"], gw_state(entry["Availability"]), (entry.get("Born") or 0) // UNIT
+            self._gw(entry["Switch"]), entry["NodeNo"], gw_state(entry["Availability"]), (entry.get("Born") or 0) // UNIT_US
         )
 
     def _stats(self, msg: dict[str, Any]) -> tuple[int, int]:
         """Free circuits and size of the group; -1 where not told."""
-        return circuits_in(msg.get("ServerStats") or {})
+        return circuits_in_report(msg.get("ServerStats") or {})
 
     def _gw(self, switch: str) -> int:
         if switch not in self.gw_of:
--- a/gingergap/listfeed/poll.py
+++ b/gingergap/listfeed/poll.py
@@ -9,8 +9,8 @@
 import h11
 import msgspec
 
-from ..facts import STATES
 from ..host import GwState
+from ..platform_settings import STATE_BY_NAME
 
 MOST_BODY = 4 << 20
 UNITS = 10  # tenths of a millisecond in a millisecond
@@ -68,9 +68,9 @@
             found.append((event.offset, False, []))
             continue
         for line in event.topology.targets:
-            if line.state not in STATES or line.boot_ms < 0 or not -1 <= line.pod_group < 1_000_000:
+            if line.state not in STATE_BY_NAME or line.boot_ms < 0 or not -1 <= line.pod_group < 1_000_000:
                 raise BadFeedError(f"a field of {line.uid!r} makes no sense")
-            if STATES[line.state] == GwState.READY or line.endpoint and STATES[line.state] == GwState.DRAINING:
+            if STATE_BY_NAME[line.state] == GwState.READY or line.endpoint and STATE_BY_NAME[line.state] == GwState.DRAINING:
                 try:
                     address_of(line.endpoint)
                 except ValueError as bad:
@@ -80,7 +80,7 @@
 
 
 def state_of(line: Line) -> GwState:
-    return STATES[line.state]
+    return STATE_BY_NAME[line.state]
 
 
 def known_batch(known: Any) -> Batch:
--- a/gingergap/service/calls.py
+++ b/gingergap/service/calls.py
@@ -14,8 +14,8 @@
 
 from ..call_controller import CallController
 from ..callers import lines
-from ..facts import NOTES, Facts, circuits_in, controller_facts
 from ..host import GwState, LegEnd, ListEntry, Rsn
+from ..platform_settings import RSN_BY_REASON, SettingsReader, circuits_in_report, controller_arguments
 from ..switches import messages
 from . import shutdown
 from .call import Call, CalledOffLeg
@@ -33,7 +33,7 @@
 
 
 class Calls:
-    """One proxy's calls. Raises BadFactError where the settings can't be read."""
+    """One proxy's calls. Raises BadFieldError where the settings can't be read."""
 
     def __init__(
         self,
@@ -45,11 +45,11 @@
         diagnostics: Diagnostics | None = None,
     ) -> None:
         self.wire, self.diagnostics = wire, diagnostics
-        start = Facts(settings, "settings")
-        here, proxies, self.types, figures = controller_facts(start)
+        start = SettingsReader(settings, "settings")
+        here, proxies, self.types, figures = controller_arguments(start)
         self.kinds = {str(lane.get("Name", place)): place for place, lane in enumerate(start.get("Lanes", list))}
-        self.widths = start.part("Specifics").get("ClassWidth", list, [])
-        self.most_open = start.part("Ceilings").get("OpenCap", int, 20_000)
+        self.widths = start.section("Specifics").get("ClassWidth", list, [])
+        self.most_open = start.section("Ceilings").get("OpenCap", int, 20_000)
         self.ids: list[str] = []  # switches by gw
         self.gw_of: dict[str, int] = {}
         self.numbers: dict[int, int] = {}  # gw: exchange number
@@ -383,7 +383,7 @@
     def refused(self, now: int, gw: int, link: Link, id: str, status: int, word: str, report: dict[str, float]) -> None:
         self.now = now
         self.called_off.pop((id, link), None)
-        free, size = circuits_in(report)
+        free, size = circuits_in_report(report)
         call = self._leg_on(link, id)
         if call is None:
             self._group_told(gw, free, size)
@@ -394,14 +394,14 @@
         if self.diagnostics is not None:
             dialog = self.controller.dialogs.get(call.dialog)
             self.diagnostics.leg_over(gw, dialog is not None and dialog.destination == self.numbers.get(gw), f"{status} {word}")
-        self._leg_over(call, how, NOTES.get(word, Rsn.NONE), free, size)
+        self._leg_over(call, how, RSN_BY_REASON.get(word, Rsn.NONE), free, size)
         self._tell_later()
 
     def call_released(self, now: int, gw: int, link: Link, id: str, cause: int, report: dict[str, float]) -> None:
         """A call that stands has come to its end or was cut; or a set-up broke on its way."""
         self.now = now
         self.wire.to_link(link, messages.bye_heard(id))
-        free, size = circuits_in(report)
+        free, size = circuits_in_report(report)
         self._group_told(gw, free, size)
         call = self.by_id.get(id)
         if call is None:
@@ -423,7 +423,7 @@
 
     def reported(self, now: int, gw: int, report: dict[str, float]) -> None:
         self.now = now
-        free, size = circuits_in(report)
+        free, size = circuits_in_report(report)
         if self.diagnostics is not None:
             self.diagnostics.reported(gw, free, size)
         self._group_told(gw, free, size)
--- a/gingergap/service/process.py
+++ b/gingergap/service/process.py
@@ -16,9 +16,9 @@
 import gevent
 from gevent.event import Event
 
-from ..facts import BadFactError, Facts
 from ..host import GwState
 from ..listfeed.poll import BadFeedError, Batch, Line, address_of, events_after, state_of
+from ..platform_settings import BadFieldError, SettingsReader
 from ..transport.stream import PAUSE
 from . import early_signals
 from .caller_connection import CallerConnection
@@ -56,7 +56,7 @@
         self.over = Event()
         self.last = 0
         self.bus = EventBusClient(self, config.bus)
-        ceilings = Facts(config.settings, "settings").part("Ceilings")
+        ceilings = SettingsReader(config.settings, "settings").section("Ceilings")
         self.connect_timeout = ceilings.get("ConnectTimeout", int, 500_000) / 1e6
         self.calls = Calls(self, self.clock(), config.seed, config.settings, diagnostics=Diagnostics(log) if diagnostics else None)
         for number, whole, entries in events_after(0, config.known):
@@ -266,7 +266,7 @@
         """SIGHUP: the bus of the file that is there now. A file that can't be read changes nothing."""
         try:
             config = read_configuration(self.path)
-        except BadFactError as bad:
+        except BadFieldError as bad:
             log("configuration-kept", file=self.path, why=bad)
             return
         log("configuration-read", bus=f"{config.bus[0]}:{config.bus[1]}")
@@ -341,7 +341,7 @@
     try:
         path, config = configuration_from_environment(os.environ)
         process = Process(path, config, diagnostics)
-    except (BadFactError, BadFeedError) as bad:
+    except (BadFieldError, BadFeedError) as bad:
         print(bad, file=sys.stderr)
         return 2
     gc.collect()
--- a/tests/test_service_calls.py
+++ b/tests/test_service_calls.py
@@ -9,8 +9,8 @@
 from hypothesis.stateful import Bundle, RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from gingergap.call_controller import TICK_INTERVAL
-from gingergap.facts import BadFactError
 from gingergap.host import GwState
+from gingergap.platform_settings import BadFieldError
 from gingergap.service.calls import Calls
 from gingergap.service.ended_set_ups import MOST_REMEMBERED, REMEMBERED, EndOfSetUp
 from gingergap.sip.framing import Framer
@@ -523,7 +523,7 @@
 
 
 def test_settings_that_can_not_be_read_name_the_field():
-    with pytest.raises(BadFactError, match=r"settings\.Lanes"):
+    with pytest.raises(BadFieldError, match=r"settings\.Lanes"):
         Calls(NotedWire(), START, 7, {**SETTINGS, "Lanes": 3})
 
 
