--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -377,7 +377,7 @@
         away = self.door.shut(kind, self.open_dialogs)
         if away:
             self._count("turned away at the door")
-            self._note("turned_away", kind, int(self.door.lag), self.open_dialogs)
+            self._note("dialog_rejected", kind, int(self.door.lag), self.open_dialogs)
             self._answer(now, server, 503, [("Retry-After", str(away)), words.q850(words.CONGESTION)])
             return
         call = Call(self.call_count, server, message, kind, self.widths[kind], far, key, told.transit, told.redialled, now, number)
@@ -545,7 +545,7 @@
             call.number = ""
             leg.client.request = call.server.request = None
             if leg.crossing:
-                self._note("came", answer_to(leg.crossing), call.index)
+                self._note("received", answer_to(leg.crossing), call.index)
             if call.crossing:
                 self._note("sent", answer_to(call.crossing), call.index)
             self.controller.dialog_established(now, call.index, now - leg.started)
@@ -575,7 +575,7 @@
         self._count(f"legs ended {how.name.lower()}")
         over = call.answered
         if leg.crossing and rsn == Rsn.TANDEM_DECLINED:  # only the proxy there says that
-            self._note("came", answer_to(leg.crossing), call.index)
+            self._note("received", answer_to(leg.crossing), call.index)
         if over:
             self._forget(call)
         if type(call.server) is NoServer:  # the module never heard of it
@@ -826,7 +826,7 @@
         """Another proxy's word; one that is too short says nothing."""
         self._answer(now, server, 200)
         if len(message.body) >= 3:
-            self._note("came", crossing(message.call_id), -1)
+            self._note("received", crossing(message.call_id), -1)
             self.controller.peer_report_received(now, message.body)
 
     # --- memory over restarts --------------------------------------------------------------------------------
@@ -967,7 +967,7 @@
         """The proxy that sent a dialog here stands first or, behind its tandem, second on the way it came."""
         for via in [via_of(value) for value in message.all("Via")[:2]]:
             call.crossing = crossing(via.branch)
-            self._note("came", call.crossing, call.index)
+            self._note("received", call.crossing, call.index)
 
     # --- small parts -------------------------------------------------------------------------------------
 
--- a/gingergap/trace/format.py
+++ b/gingergap/trace/format.py
@@ -33,6 +33,7 @@
 MOST_BLOCK = 16 << 20
 MOST_RAW = 256 << 20
 
+# Methods of the controller and of its host. A name's code is its position: names may change, positions may not.
 EVENT_NAMES = (
     "start",
     "tick",
@@ -46,10 +47,10 @@
     "dialog_cancelled",
 )
 ACTION_NAMES = ("send_leg", "cancel_leg", "decline", "abort", "schedule_tick", "send_to_peers", "subscribe")
-# What the module does not see: its own state, bytes that left for or came from another proxy under an id that both
-# know, a dialog turned away before it, the process running late, an operator's words.
-NOTE_NAMES = ("snapshot", "sent", "came", "turned_away", "ran_late", "remark")
-LATER_EVENT_NAMES = ("restore",)  # events that came when the actions had their codes already
+# What the controller does not see: its own state; a message sent to or received from another proxy, under an id that both
+# derive; a dialog rejected before it reached the controller; the process running late; an operator's remark.
+NOTE_NAMES = ("snapshot", "sent", "received", "dialog_rejected", "ran_late", "remark")
+LATER_EVENT_NAMES = ("restore",)  # added after the codes that follow the other events had been given to the actions
 FIRST_ACTION, FIRST_LATER, FIRST_NOTE = len(EVENT_NAMES), 24, 32
 CODES = {name: code for code, name in enumerate((*EVENT_NAMES, *ACTION_NAMES))}
 CODES |= {name: FIRST_LATER + place for place, name in enumerate(LATER_EVENT_NAMES)}
@@ -66,7 +67,7 @@
     CODES["decline"]: 1,
     CODES["abort"]: 1,
     CODES["sent"]: 3,
-    CODES["came"]: 3,
+    CODES["received"]: 3,
 }
 ENCODER, DECODER = msgspec.msgpack.Encoder(), msgspec.msgpack.Decoder()
 
--- a/gingergap/trace/merge.py
+++ b/gingergap/trace/merge.py
@@ -18,7 +18,7 @@
 from .format import CODES, FORMAT, BadTraceError, Header, Source
 from .stream import Entry, Trace
 
-SENT, CAME = CODES["sent"], CODES["came"]
+SENT, CAME = CODES["sent"], CODES["received"]
 SECOND = 10_000
 HORIZON = 120 * SECOND  # a crossing whose other side has not come by then has none
 
--- a/gingergap/trace/stories.py
+++ b/gingergap/trace/stories.py
@@ -23,7 +23,7 @@
         "abort",
     )
 )
-SENT, CAME_BY = CODES["sent"], CODES["came"]
+SENT, CAME_BY = CODES["sent"], CODES["received"]
 STOOD, DECLINED, ABORTED, GIVEN_UP, OPEN = "stood", "declined", "aborted", "given up", "open"
 
 
--- a/gingergap/trace/tally.py
+++ b/gingergap/trace/tally.py
@@ -13,9 +13,9 @@
 from .stories import ABORT, CAME, DECLINE, DECLINED, GIVEN_UP, LEG_ENDED, SEND, STANDS, STOOD, Leg, Stories, Story
 from .stream import Entry
 
-TICK, EXCHANGE_LIST_RECEIVED, EXCHANGE_LIST_FAILED, TRUNK_GROUP_REPORTED, TURNED_AWAY, RAN_LATE = (
+TICK, EXCHANGE_LIST_RECEIVED, EXCHANGE_LIST_FAILED, TRUNK_GROUP_REPORTED, DIALOG_REJECTED, RAN_LATE = (
     CODES[name]
-    for name in ("tick", "exchange_list_received", "exchange_list_failed", "trunk_group_reported", "turned_away", "ran_late")
+    for name in ("tick", "exchange_list_received", "exchange_list_failed", "trunk_group_reported", "dialog_rejected", "ran_late")
 )
 LONGEST = 600_000_000  # microseconds in a histogram
 STANDSTILL = 2_500  # 250 ms in which nothing happened: the module's own beat comes fifty times a second
@@ -150,7 +150,7 @@
             here.exchange_list_failed += 1
         elif code == TRUNK_GROUP_REPORTED:
             self._told(source, record[2], record[3], record[4])
-        elif code == TURNED_AWAY:
+        elif code == DIALOG_REJECTED:
             here.turned_away += 1
         elif code == RAN_LATE:
             here.lateness = max(here.lateness, record[2])
--- a/tests/test_spans.py
+++ b/tests/test_spans.py
@@ -90,13 +90,13 @@
             [CODES["dialog_received"], 10, 0, 0, 1, 1, "n", 30_000, False, False, False, -1],
             [CODES["send_leg"], 0, 2, 900],
             [CODES["sent"], 10, crossed, 0],
-            [CODES["came"], 300, answer_to(crossed), 0],
+            [CODES["received"], 300, answer_to(crossed), 0],
             [CODES["dialog_established"], 300, 0, 290],
             [CODES["leg_ended"], 900, 0, 2, 0, 0, True, 5, 9],
         ],
         "p2": [
             [CODES["exchange_list_received"], 1, [[1, 1, 2, 0]], True],
-            [CODES["came"], 60, crossed, 7],
+            [CODES["received"], 60, crossed, 7],
             [CODES["dialog_received"], 60, 7, 0, 1, 1, "n", 30_000, True, False, False, -1],
             [CODES["send_leg"], 7, 1, 800],
             [CODES["sent"], 250, answer_to(crossed), 7],
@@ -216,7 +216,7 @@
     assert leg[1].port != 7101 and notes(tape, "sent") == [[0, crossed, 0]]
     peers.now += 70
     peers.answer(leg, 200)
-    assert notes(tape, "came") == [[70, answer_to(crossed), 0]]
+    assert notes(tape, "received") == [[70, answer_to(crossed), 0]]
     direct = peers.invite("002555")
     assert peers.legs(direct.call_id) and len(notes(tape, "sent")) == 1
 
@@ -229,7 +229,7 @@
         fields = [("Via", f"SIP/2.0/UDP 127.0.0.1:6999;branch=z9hG4bKfar{number}"), ("Gingergap-Dialog", "transit;time-left=3000")]
         peers.invite("001555", call=call, fields=fields)
         ids = [crossing(f"z9hG4bK{call}"), crossing(f"z9hG4bKfar{number}")]
-        assert [note[1] for note in notes(tape, "came")][-2:] == ids
+        assert [note[1] for note in notes(tape, "received")][-2:] == ids
         legs = peers.legs(call)
         if free:
             peers.answer(legs[0], 200)
@@ -237,7 +237,7 @@
             assert not legs and peers.finals(call) == [503]
         assert notes(tape, "sent")[-1][1] == answer_to(ids[1])
     events = [record[0] for record in tape.records]
-    came, arrived = events.index(CODES["came"]), events.index(CODES["dialog_received"])
+    came, arrived = events.index(CODES["received"]), events.index(CODES["dialog_received"])
     assert came < arrived  # else what the arrival sets off could stand before what it came by
 
 
@@ -253,7 +253,7 @@
         ("Max-Forwards", "9"),
     ]
     peers.come(message, Hop("UDP", "127.0.0.1", 7100))
-    assert notes(tape, "came") == [[0, crossing("word1"), -1]]
+    assert notes(tape, "received") == [[0, crossing("word1"), -1]]
     peers.proxy.send_to_peers(b"\0\1\2\3")
     told = {crossing(message.call_id) for message in peers.all("MESSAGE")}
     assert told == {note[1] for note in notes(tape, "sent")} and told
@@ -266,7 +266,7 @@
     peers.proxy.ran_late(5_200, 30_000)
     assert notes(tape, "ran_late") == [[5_100, 900], [5_200, 30_000]]
     invite = peers.invite("001555")
-    assert peers.finals(invite.call_id) == [503] and notes(tape, "turned_away")[0][1] == 0
+    assert peers.finals(invite.call_id) == [503] and notes(tape, "dialog_rejected")[0][1] == 0
     peers.proxy.remark(6_000, "phones dead in Bellville")
     assert notes(tape, "remark") == [[6_000, "phones dead in Bellville"]]
 
--- a/tests/test_trace_causes.py
+++ b/tests/test_trace_causes.py
@@ -338,7 +338,7 @@
     told.calm(4)
     told.now += 20_000
     for _ in range(12):
-        told.put("turned_away", told.now, 0, 900, 3)
+        told.put("dialog_rejected", told.now, 0, 900, 3)
     told.calm(3)
     tally = told.done()
     (stretch,) = bad_stretches(tally.all_slices(), SPAN, tally.usual(), tally.objective())
--- a/tests/test_trace_tools.py
+++ b/tests/test_trace_tools.py
@@ -27,7 +27,7 @@
 from gingergap.trace.stream import Entry, opened
 from gingergap.trace.window import dialog_of
 
-TICK, SENT, CAME = CODES["tick"], CODES["sent"], CODES["came"]
+TICK, SENT, CAME = CODES["tick"], CODES["sent"], CODES["received"]
 
 
 def with_states(header, records, every):
