--- a/gingergap/benchlink/__init__.py
+++ b/gingergap/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter that feeds the decision module from the simulator's wire."""
+"""The adapter between the simulator's wire and the controllers of its proxies."""
--- a/gingergap/benchlink/__main__.py
+++ b/gingergap/benchlink/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m gingergap.benchlink`: batches in on standard input, one reply to each on standard output."""
+"""`python -m gingergap.benchlink`: reads batches of events from standard input and writes a reply to each to standard output."""
 
 import sys
 from collections.abc import Iterable
@@ -10,7 +10,7 @@
 
 
 def serve(lines: Iterable[str], reply: TextIO) -> None:
-    """Answer every batch until the input ends; raises BadLineError on what the wire does not allow."""
+    """Answer every batch until the input ends. Raises BadLineError for a line that the wire does not allow."""
     proxies: dict[str, Proxy] = {}
     lists: dict[int, list[dict[str, Any]]] = {}
     out: list[str] = []
@@ -36,22 +36,24 @@
             lists[msg["SetId"]] = msg["Records"]
         else:
             try:
-                _take(proxies, msg, now, lists, out)
-            except BadFieldError as bad:
-                raise BadLineError(f"line {number}: {event}: {bad}") from None
-            except Exception as error:  # the module failed: the wire has an action for that
+                _handle(proxies, msg, now, lists, out)
+            except BadFieldError as error:
+                raise BadLineError(f"line {number}: {event}: {error}") from None
+            except Exception as error:  # a failure of the controller is reported by an action of the wire
                 print(f"{msg['Proxy']}: {event}: {error!r}", file=sys.stderr)
                 out.append(encode("Panic", Proxy=msg["Proxy"], Message=f"{event}: {error!r}"))
 
 
-def _take(proxies: dict[str, Proxy], msg: dict[str, Any], now: int, lists: dict[int, list[dict[str, Any]]], out: list[str]) -> None:
+def _handle(
+    proxies: dict[str, Proxy], msg: dict[str, Any], now: int, lists: dict[int, list[dict[str, Any]]], out: list[str]
+) -> None:
     name = msg["Proxy"]
     if msg["t"] == "Spawn":
         proxies[name] = Proxy(name, msg["Prng"], msg["Facts"], now, out)
     elif msg["t"] == "Stop":
         proxies.pop(name, None)
     elif name in proxies:
-        proxies[name].take(msg, now, lists)
+        proxies[name].handle(msg, now, lists)
     else:
         raise BadLineError("field Proxy names no running instance")
 
@@ -60,8 +62,8 @@
     sys.stdin.reconfigure(encoding="utf-8", errors="replace")
     try:
         serve(sys.stdin, sys.stdout)
-    except BadLineError as bad:
-        print(bad, file=sys.stderr)
+    except BadLineError as error:
+        print(error, file=sys.stderr)
         return 2
     return 0
 
--- a/gingergap/benchlink/codec.py
+++ b/gingergap/benchlink/codec.py
@@ -1,4 +1,4 @@
-"""Lines of the wire in and out: JSON, and plain words on what is wrong with a line."""
+"""Encoding, decoding and checks of the wire's lines, each a JSON object."""
 
 import json
 from typing import Any
@@ -44,10 +44,10 @@
 
 
 def _check(msg: dict[str, Any], required: dict[str, Any], optional: dict[str, Any], where: str) -> None:
-    for field, kind in required.items():
+    for field, expected in required.items():
         if field not in msg:
             raise BadLineError(f"{where}: field {field} is missing")
-        if not has_type(msg[field], kind):
+        if not has_type(msg[field], expected):
             raise BadLineError(f"{where}: field {field} is ill-typed")
     for field, value in msg.items():
         if field in required or field not in optional or value is None:
@@ -57,7 +57,7 @@
 
 
 def decode(line: str, number: int) -> dict[str, Any]:
-    """One line as a checked object; raises BadLineError with the line's number and the field at fault."""
+    """A line as a checked object. Raises BadLineError with the line's number and the offending field."""
     try:
         msg = json.loads(line)
     except (ValueError, RecursionError):
@@ -72,10 +72,10 @@
         raise BadLineError(f"line {number}: field t names an unknown event")
     _check(msg, required, OPTIONAL, f"line {number}: {name}")
     if name == "Manifest":
-        for place, entry in enumerate(msg["Records"]):
+        for index, entry in enumerate(msg["Records"]):
             if not isinstance(entry, dict):
-                raise BadLineError(f"line {number}: Manifest: field Records[{place}] is ill-typed")
-            _check(entry, ENTRY, ENTRY_OPTIONAL, f"line {number}: Manifest: Records[{place}]")
+                raise BadLineError(f"line {number}: Manifest: field Records[{index}] is ill-typed")
+            _check(entry, ENTRY, ENTRY_OPTIONAL, f"line {number}: Manifest: Records[{index}]")
     elif msg.get("ServerStats"):
         for field, value in msg["ServerStats"].items():
             if not has_type(value, NUMBER):
--- a/gingergap/benchlink/proxy.py
+++ b/gingergap/benchlink/proxy.py
@@ -1,4 +1,4 @@
-"""One simulated signalling proxy: its ids, its units and its controller, apart from all others."""
+"""One simulated signalling proxy: the host of one controller, with the simulator's ids and units."""
 
 from collections.abc import Callable
 from typing import Any
@@ -8,7 +8,7 @@
 from ..platform_settings import UNIT_US, SettingsReader, circuits_in_report, controller_arguments, gw_state, max_duration, rsn_of
 from .codec import BadLineError, encode
 
-LEG_ENDS = {
+LEG_END_BY_OUTCOME = {
     "success": LegEnd.ENDED,
     "failure": LegEnd.BUSY,
     "overloaded": LegEnd.FULL,
@@ -18,10 +18,10 @@
     "withdrawn": LegEnd.CANCELLED,
     "void": LegEnd.NOT_SENT,
 }
-REDIALLED, IN_TRANSIT, WAS_CUT = 2, 8, 16
+REDIALLED, IN_TRANSIT, AFTER_CUT = 2, 8, 16  # bits of the field Bitmap
 
 
-def _hex(text: str) -> bytes:
+def _bytes_of_hex(text: str) -> bytes:
     try:
         return bytes.fromhex(text)
     except ValueError:
@@ -29,7 +29,8 @@
 
 
 class Proxy:
-    """The host of one controller. Ids turn into small indices here, and back."""
+    """The host of one controller. It replaces the simulator's ids by small indices and microseconds by the controller's
+    unit, and back; actions are appended to `out` as lines of the wire."""
 
     def __init__(
         self,
@@ -38,73 +39,75 @@
         facts: dict[str, Any],
         now_us: int,
         out: list[str],
-        make: Callable[..., CallController] = CallController,
+        make_controller: Callable[..., CallController] = CallController,
     ) -> None:
         self.name, self.out = name, out
-        self.switch_of: list[str] = []
-        self.gw_of: dict[str, int] = {}
-        self.rid_of: dict[int, int] = {}
-        self.dialog_of: dict[int, int] = {}
-        self.legs_out: dict[int, int] = {}
-        self.ended: set[int] = set()
-        self.dialogs = 0
-        start = SettingsReader(facts, "Facts")
-        self.tells_wait = start.section("Specifics").get("GivesWait", bool, False)
-        here, proxies, types, figures = controller_arguments(start)
-        self.controller = make(self, seed, here, proxies, types, **figures)
+        self.switch_by_gw: list[str] = []
+        self.gw_by_switch: dict[str, int] = {}
+        self.rid_by_dialog: dict[int, int] = {}
+        self.dialog_by_rid: dict[int, int] = {}
+        self.legs_out: dict[int, int] = {}  # number of unanswered or established legs by dialog
+        self.answered: set[int] = set()
+        self.dialog_count = 0
+        settings = SettingsReader(facts, "Facts")
+        self.gives_wait = settings.section("Specifics").get("GivesWait", bool, False)
+        own_exchange, proxy_count, traffic_types, arguments = controller_arguments(settings)
+        self.controller = make_controller(self, seed, own_exchange, proxy_count, traffic_types, **arguments)
         self.controller.start(now_us // UNIT_US)
 
-    # --- what the controller asks for ---
+    # --- actions of the controller ---
 
-    def send_leg(self, dialog: int, gw: int, limit: int) -> None:
-        self.legs_out[dialog] += 1
-        self._act("CallOut", Rid=self.rid_of[dialog], Switch=self.switch_of[gw], Timeout=limit * UNIT_US)
+    def send_leg(self, dialog_index: int, gw: int, time_limit: int) -> None:
+        self.legs_out[dialog_index] += 1
+        self._act("CallOut", Rid=self.rid_by_dialog[dialog_index], Switch=self.switch_by_gw[gw], Timeout=time_limit * UNIT_US)
 
-    def cancel_leg(self, dialog: int, leg: int) -> None:
-        self._act("UndoSend", Rid=self.rid_of[dialog], Attempt=leg)
+    def cancel_leg(self, dialog_index: int, leg_index: int) -> None:
+        self._act("UndoSend", Rid=self.rid_by_dialog[dialog_index], Attempt=leg_index)
 
-    def decline(self, dialog: int, hold_off: int) -> None:
-        self._act("NotNow", Rid=self.rid_of[dialog], HoldOff=hold_off * UNIT_US)
-        self._ended(dialog)
+    def decline(self, dialog_index: int, hold_off: int) -> None:
+        self._act("NotNow", Rid=self.rid_by_dialog[dialog_index], HoldOff=hold_off * UNIT_US)
+        self._mark_answered(dialog_index)
 
-    def abort(self, dialog: int) -> None:
-        self._act("Abort", Rid=self.rid_of[dialog])
-        self._ended(dialog)
+    def abort(self, dialog_index: int) -> None:
+        self._act("Abort", Rid=self.rid_by_dialog[dialog_index])
+        self._mark_answered(dialog_index)
 
     def schedule_tick(self, delay: int) -> None:
         self._act("Remind", FromNow=delay * UNIT_US, Cookie="beat")
 
-    def send_to_peers(self, told: bytes) -> None:
-        self._act("Say", To=-1, Bytes=told.hex())
+    def send_to_peers(self, report: bytes) -> None:
+        self._act("Say", To=-1, Bytes=report.hex())
 
     def subscribe(self) -> None:
         self._act("Watch", Want=True)
 
-    # --- what the wire tells ---
+    # --- events of the wire ---
 
-    def take(self, msg: dict[str, Any], now_us: int, lists: dict[int, list[dict[str, Any]]]) -> None:
+    def handle(self, msg: dict[str, Any], now_us: int, lists: dict[int, list[dict[str, Any]]]) -> None:
+        """Give one event to the controller. `lists`: the exchange lists received so far by SetId. Raises BadLineError for
+        a field whose value refers to nothing known."""
         now = now_us // UNIT_US
         match msg["t"]:
             case "Knock":
-                self._knock(msg, now)
+                self._dialog_received(msg, now)
             case "Headers":
-                dialog = self.dialog_of.get(msg["Rid"])
-                if dialog is not None:
-                    self.controller.dialog_established(now, dialog, max_duration(msg.get("TimeTaken") or 0))
+                dialog_index = self.dialog_by_rid.get(msg["Rid"])
+                if dialog_index is not None:
+                    self.controller.dialog_established(now, dialog_index, max_duration(msg.get("TimeTaken") or 0))
             case "Result":
-                self._result(msg, now)
+                self._leg_ended(msg, now)
             case "CancelledByClient":
-                dialog = self.dialog_of.get(msg["Rid"])
-                if dialog is not None:
-                    self.controller.dialog_cancelled(now, dialog)
-                    self._ended(dialog)
+                dialog_index = self.dialog_by_rid.get(msg["Rid"])
+                if dialog_index is not None:
+                    self.controller.dialog_cancelled(now, dialog_index)
+                    self._mark_answered(dialog_index)
             case "Message":
-                self.controller.peer_report_received(now, _hex(msg["Bytes"]))
+                self.controller.peer_report_received(now, _bytes_of_hex(msg["Bytes"]))
             case "Elapsed":
                 self.controller.tick(now)
             case "ProbeResult":
                 gw = self._gw(msg["Switch"])
-                free, size = self._stats(msg)
+                free, size = self._circuits(msg)
                 if size >= 0:
                     self.controller.trunk_group_reported(now, gw, free, size)
             case "BackendsChanged" if msg["Kind"] == 3:
@@ -112,74 +115,74 @@
             case "BackendsChanged":
                 entries = lists.get(msg.get("SetId"))
                 if entries is None:
-                    raise BadLineError("field SetId names no list that has come")
+                    raise BadLineError("field SetId names no list received so far")
                 self.controller.exchange_list_received(now, [self._entry(entry) for entry in entries], msg["Kind"] != 0)
 
-    def _knock(self, msg: dict[str, Any], now: int) -> None:
-        dialog = self.dialogs
-        self.dialogs += 1
-        self.rid_of[dialog] = msg["Rid"]
-        self.dialog_of[msg["Rid"]] = dialog
-        self.legs_out[dialog] = 0
+    def _dialog_received(self, msg: dict[str, Any], now: int) -> None:
+        dialog_index = self.dialog_count
+        self.dialog_count += 1
+        self.rid_by_dialog[dialog_index] = msg["Rid"]
+        self.dialog_by_rid[msg["Rid"]] = dialog_index
+        self.legs_out[dialog_index] = 0
         marks = msg.get("Bitmap") or 0
-        kind = msg.get("Class") or 0
-        if not 0 <= kind < len(self.controller.traffic_types):
+        traffic_type = msg.get("Class") or 0
+        if not 0 <= traffic_type < len(self.controller.traffic_types):
             raise BadLineError("field Class names no class")
         self.controller.dialog_received(
             now,
-            dialog,
-            kind,
+            dialog_index,
+            traffic_type,
             int(msg["FarEnd"]),
             int(msg["SlotsNeeded"]),
             msg.get("Subject") or "",
             max_duration(msg["ExpiresIn"]),
             bool(marks & IN_TRANSIT),
             bool(marks & REDIALLED),
-            bool(marks & WAS_CUT),
+            bool(marks & AFTER_CUT),
             -1 if marks & IN_TRANSIT else int(msg.get("AdvisedRoute", -1)),
         )
 
-    def _result(self, msg: dict[str, Any], now: int) -> None:
-        dialog = self.dialog_of.get(msg["Rid"])
-        how = LEG_ENDS.get(msg["Outcome"])
-        if how is None:
+    def _leg_ended(self, msg: dict[str, Any], now: int) -> None:
+        dialog_index = self.dialog_by_rid.get(msg["Rid"])
+        leg_end = LEG_END_BY_OUTCOME.get(msg["Outcome"])
+        if leg_end is None:
             raise BadLineError("field Outcome names no outcome")
-        if dialog is None:
+        if dialog_index is None:
             return
-        self.legs_out[dialog] -= 1
-        free, size = self._stats(msg)
-        rsn = rsn_of(msg.get("Reason") or 0, self.tells_wait)
-        self.controller.leg_ended(now, dialog, self._gw(msg["Switch"]), how, rsn, bool(msg.get("Ended")), free, size)
+        self.legs_out[dialog_index] -= 1
+        free, size = self._circuits(msg)
+        rsn = rsn_of(msg.get("Reason") or 0, self.gives_wait)
+        self.controller.leg_ended(now, dialog_index, self._gw(msg["Switch"]), leg_end, rsn, bool(msg.get("Ended")), free, size)
         if msg.get("Ended"):
-            self._ended(dialog)
+            self._mark_answered(dialog_index)
         else:
-            self._forget(dialog)
+            self._forget_if_done(dialog_index)
 
     def _entry(self, entry: dict[str, Any]) -> ListEntry:
         return ListEntry(
             self._gw(entry["Switch"]), entry["NodeNo"], gw_state(entry["Availability"]), (entry.get("Born") or 0) // UNIT_US
         )
 
-    def _stats(self, msg: dict[str, Any]) -> tuple[int, int]:
-        """Free circuits and size of the group; -1 where not told."""
+    def _circuits(self, msg: dict[str, Any]) -> tuple[int, int]:
+        """Free circuits and size of the trunk group; -1 where the message does not give them."""
         return circuits_in_report(msg.get("ServerStats") or {})
 
     def _gw(self, switch: str) -> int:
-        if switch not in self.gw_of:
-            self.gw_of[switch] = len(self.switch_of)
-            self.switch_of.append(switch)
-        return self.gw_of[switch]
-
-    def _ended(self, dialog: int) -> None:
-        self.ended.add(dialog)
-        self._forget(dialog)
-
-    def _forget(self, dialog: int) -> None:
-        """A dialog's ids go once it has ended and no leg of it is out."""
-        if dialog in self.ended and self.legs_out.get(dialog) == 0:
-            self.ended.discard(dialog)
-            del self.legs_out[dialog]
-            del self.dialog_of[self.rid_of.pop(dialog)]
+        if switch not in self.gw_by_switch:
+            self.gw_by_switch[switch] = len(self.switch_by_gw)
+            self.switch_by_gw.append(switch)
+        return self.gw_by_switch[switch]
+
+    def _mark_answered(self, dialog_index: int) -> None:
+        self.answered.add(dialog_index)
+        self._forget_if_done(dialog_index)
+
+    def _forget_if_done(self, dialog_index: int) -> None:
+        """Forget the ids of a dialog that has been answered and has no leg out."""
+        if dialog_index in self.answered and self.legs_out.get(dialog_index) == 0:
+            self.answered.discard(dialog_index)
+            del self.legs_out[dialog_index]
+            del self.dialog_by_rid[self.rid_by_dialog.pop(dialog_index)]
 
     def _act(self, action: str, **fields: Any) -> None:
         self.out.append(encode(action, Proxy=self.name, **fields))
--- a/gingergap/trace/tap.py
+++ b/gingergap/trace/tap.py
@@ -122,7 +122,7 @@
                 elif msg["t"] == "Stop":
                     self._stop(msg["Proxy"])
                 elif msg["t"] != "End":
-                    self.taped[msg["Proxy"]].proxy.take(msg, now, self.lists)
+                    self.taped[msg["Proxy"]].proxy.handle(msg, now, self.lists)
             except (BadLineError, KeyError) as bad:
                 raise BadTraceError(f"line {number}: {bad}") from None
         return list(self.out)
