--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,3 +1,5 @@
+"""The simulator's adapter: lines in, actions out."""
+
 import io
 import json
 
@@ -31,7 +33,7 @@
     return [json.loads(line) for line in out.getvalue().splitlines()]
 
 
-def test_a_dialog_is_sent_with_its_own_ids_and_units():
+def test_a_leg_is_sent_with_the_wires_ids_and_units():
     replies = play(TICK, SPAWN, *LIST, KNOCK, END)
     leg = next(reply for reply in replies if reply["t"] == "CallOut")
     assert (leg["Rid"], leg["Switch"]) == (77, "switch.a")
@@ -39,20 +41,20 @@
     assert replies[-1] == {"t": "Yield"}
 
 
-def test_late_words_on_an_ended_dialog_are_taken_calmly():
+def test_late_events_of_an_answered_dialog_are_ignored():
     result = {"t": "Result", "Proxy": "proxy_0", "Rid": 77, "Attempt": 0, "Switch": "switch.a", "Outcome": "failure", "Reason": 4}
-    gone = {"t": "CancelledByClient", "Proxy": "proxy_0", "Rid": 77}
-    replies = play(TICK, SPAWN, *LIST, KNOCK, END, TICK, result, gone, gone, result, END)
+    cancelled = {"t": "CancelledByClient", "Proxy": "proxy_0", "Rid": 77}
+    replies = play(TICK, SPAWN, *LIST, KNOCK, END, TICK, result, cancelled, cancelled, result, END)
     assert [reply["t"] for reply in replies].count("NotNow") == 1
 
 
-def test_a_stopped_instance_knows_nothing_after_its_restart():
+def test_an_instance_starts_without_state_after_a_stop():
     replies = play(TICK, SPAWN, *LIST, END, TICK, {"t": "Stop", "Proxy": "proxy_0"}, SPAWN, KNOCK, END)
     assert "CallOut" not in [reply["t"] for reply in replies]
 
 
 @pytest.mark.parametrize(
-    ("message", "words"),
+    ("message", "error"),
     [
         ({"t": "Nonsense"}, "line 3: field t"),
         ({**KNOCK, "Rid": "x"}, "line 3: Knock: field Rid is ill-typed"),
@@ -63,12 +65,12 @@
         ({"t": "Message", "Proxy": "proxy_0", "From": 1, "Bytes": "0g"}, "line 3: Message: field Bytes"),
     ],
 )
-def test_bad_lines_are_named(message, words):
-    with pytest.raises(BadLineError, match=words):
+def test_a_bad_line_is_reported_with_its_number_and_field(message, error):
+    with pytest.raises(BadLineError, match=error):
         play(TICK, SPAWN, message, END)
 
 
-def test_an_exception_in_the_module_becomes_the_wires_fault(monkeypatch):
+def test_an_exception_in_the_controller_is_reported_as_a_panic(monkeypatch):
     def fail(*_):
         raise RuntimeError("oh")
 
