--- a/gingergap/call_controller.py
+++ b/gingergap/call_controller.py
@@ -131,9 +131,9 @@
     """What this proxy knows of a far end: its entry in the exchange list, the leg budget after a cold start, and how
     loaded its processor seems from set-up times and rejections.
 
-    `cold_share`: the share of a warm exchange's legs that a cold one can process; `overload_factor`: how many times its
-    capacity it endures for `cold_span`; `warm_after`: time from start until it is warm; `proxy_count`: proxies among
-    which the budget is divided; `half_life`: time in which signs of load lose half their weight.
+    `cold_share`: the share of its capacity that an exchange has right after its start; `warm_after`: time until it has all
+    of it; `overload_factor`: a cold exchange fails if it gets more than so many times its capacity over `cold_span`;
+    `proxy_count`: proxies that share its capacity; `half_life`: time in which signs of load lose half their weight.
     """
 
     def __init__(
@@ -740,7 +740,7 @@
 
     def _is_held_back(self, dialog: Dialog, exchange: Exchange) -> bool:
         """Whether the route is too slow for this dialog, because the far processor is loaded, paused or silent or the own
-        one is flooded: dialogs of low importance are held back first. This costs service where stalls are short."""
+        one is flooded: dialogs of low importance are held back first. This costs service where a stall ends by itself."""
         traffic_type = self.traffic_types[dialog.traffic_type]
         late = self.now >= dialog.objective_at
         remaining = traffic_type.setup_objective // 4 if late else dialog.objective_at - self.now
