--- a/gingergap/trace/snapshot.py
+++ b/gingergap/trace/snapshot.py
@@ -40,12 +40,12 @@
     return state if is_earlier(module) else present_controller_fields(state)
 
 
-def thaw(data: bytes, to: Any, module: ModuleType = call_controller) -> Any:
-    """A controller of `module` in that state, with `to` for its host. Raises BadSnapshotError."""
+def thaw(data: bytes, new_host: Any, module: ModuleType = call_controller) -> Any:
+    """A controller of `module` in that state, with `new_host` for its host. Raises BadSnapshotError."""
     state = state_of(data, module)
     controller = module.CallController.__new__(module.CallController)
     vars(controller).update(state)
-    controller.host = to
+    controller.host = new_host
     return controller
 
 
