--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -15,8 +15,8 @@
 from gevent.event import AsyncResult
 
 from ..duties import messages
-from ..duties.keeper import Duty, Keeper
 from ..duties.leases import Token
+from ..duties.manager import Duty, Keeper
 from ..membership import swim
 from ..membership.codec import Sealer
 from ..membership.swim import Members
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -9,8 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gingergap.duties.keeper import Duty, Keeper
 from gingergap.duties.leases import Claim, Fence, Token, Voter
+from gingergap.duties.manager import Duty, Keeper
 from gingergap.duties.placement import ranking
 
 SECOND = 10_000
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -553,8 +553,8 @@
 def test_counters_heard_of_before_a_restart_are_neither_asked_for_nor_granted_again(tmp_path):
     from random import Random
 
-    from gingergap.duties.keeper import Duty, Keeper
     from gingergap.duties.leases import Token
+    from gingergap.duties.manager import Duty, Keeper
 
     keeper = Keeper(NotedHost(), Random(1), 0, "p0", 1, frozenset({"p1"}), [Duty("probe x1", 100, 1_000)])
     keeper.recall("probe x1", 17)
