--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -21,8 +21,8 @@
 from ..membership.codec import Sealer
 from ..membership.swim import Members
 from ..membership.transport import DUTIES, MEMBERSHIP, Datagrams
-from ..scheduler.plan import Background, WorkClass
 from ..scheduler.runner import Runner
+from ..scheduler.task_scheduler import Background, WorkClass
 from ..sip.fields import host_port
 from .proxy import DUTY_FIELD, EdgeProxy
 
--- a/gingergap/scheduler/__init__.py
+++ b/gingergap/scheduler/__init__.py
@@ -1,2 +1,2 @@
 """Background work of a process: one owner of all time that calls don't need. What runs next is decided without I/O
-(plan.py); the runner runs it in greenlets."""
+(task_scheduler.py); the runner runs it in greenlets."""
--- a/gingergap/scheduler/runner.py
+++ b/gingergap/scheduler/runner.py
@@ -1,4 +1,4 @@
-"""Runs background tasks in greenlets as plan.py decides."""
+"""Runs background tasks in greenlets as task_scheduler.py decides."""
 
 import time
 from collections.abc import Callable
@@ -6,7 +6,7 @@
 
 import gevent
 
-from .plan import Background
+from .task_scheduler import Background
 
 
 class Runner:
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -8,8 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gingergap.scheduler.plan import SECOND, Background, WorkClass
 from gingergap.scheduler.runner import Runner
+from gingergap.scheduler.task_scheduler import SECOND, Background, WorkClass
 
 
 def plan(rate=100.0, jitter=0.0, **more):
