--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -21,7 +21,7 @@
 from gingergap.settings.day import DayForm
 from gingergap.settings.forms import read
 from gingergap.standins.script import Plan
-from gingergap.store.book import Book
+from gingergap.store.record_store import Book
 from gingergap.store.records import ALIVE, CALLER, EXCHANGE, PAIR, Change
 from gingergap.trace.stories import STOOD, stories_of
 from gingergap.trace.stream import opened
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -27,8 +27,8 @@
 from gingergap.sip.message import parse as parse_sip
 from gingergap.sip.transactions import Hop
 from gingergap.standins.player import form, free_ports
-from gingergap.store.book import Book
 from gingergap.store.memory import Memory, Word, recalled
+from gingergap.store.record_store import Book
 from gingergap.store.records import (
     ALIVE,
     CALLER,
--- a/gingergap/cli/lines.py
+++ b/gingergap/cli/lines.py
@@ -27,7 +27,7 @@
 
 def _plain() -> tuple[type[Exception], ...]:
     """Errors that are one plain line already; their packages are loaded only once one of them is raised."""
-    from ..store.book import BadStoreError
+    from ..store.record_store import BadStoreError
     from ..store.records import BadRecordError
     from ..trace.format import BadTraceError
     from ..trace.snapshot import BadSnapshotError
--- a/gingergap/cli/store.py
+++ b/gingergap/cli/store.py
@@ -17,7 +17,7 @@
 
 
 def _book(folder: Path) -> Any:
-    from ..store.book import FILE, Book
+    from ..store.record_store import FILE, Book
 
     if not (folder / FILE).exists():
         fail(f"{folder}: no store there")
@@ -83,8 +83,8 @@
 @click.option("--from", "source", type=click.Path(path_type=Path), required=True, help="A file that `store export` wrote.")
 def import_(folder: Path, source: Path) -> None:
     """Put exported records into a store, all or none; records of the same key are replaced."""
-    from ..store.book import Book
     from ..store.exchange import imported
+    from ..store.record_store import Book
 
     changes = imported(source)
     book = Book(folder)
--- a/gingergap/edge/remembering.py
+++ b/gingergap/edge/remembering.py
@@ -10,8 +10,8 @@
 
 from gevent.lock import BoundedSemaphore
 
-from ..store.book import BadStoreError, Book
 from ..store.memory import Memory, Recalled, recalled, word_of
+from ..store.record_store import BadStoreError, Book
 from ..store.records import CALLER, KeptAlive
 from .proxy import EdgeProxy
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -16,9 +16,9 @@
 
 from gingergap.cli.main import main
 from gingergap.standins.disk import FullDisk, NotedDisk, image
-from gingergap.store import book as store_book
-from gingergap.store.book import APPLICATION, FILE, BadStoreError, Book
+from gingergap.store import record_store
 from gingergap.store.migrations import MIGRATIONS
+from gingergap.store.record_store import APPLICATION, FILE, BadStoreError, Book
 from gingergap.store.records import (
     ALIVE,
     CALLER,
@@ -131,7 +131,7 @@
 sys.path.insert(0, {tests!r})
 from pathlib import Path
 from test_store import random_batch
-from gingergap.store.book import Book
+from gingergap.store.record_store import Book
 book = Book(Path({folder!r}))
 draw = random.Random({seed})
 for number in range(100_000):
@@ -438,4 +438,4 @@
         seen.add(folder["a"])
     assert b"x" * 600 in seen and b"y" * 2000 in seen and b"y" * 100 in seen and b"x" * 100 in seen
     assert any(0 < one.count(b"y") < 2000 and one.count(b"y") % 512 == 0 for one in seen)  # torn
-    assert store_book.FILE == FILE
+    assert record_store.FILE == FILE
