--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -27,7 +27,7 @@
 from gingergap.sip.message import parse as parse_sip
 from gingergap.sip.transactions import Hop
 from gingergap.standins.player import form, free_ports
-from gingergap.store.memory import Memory, Word, recalled
+from gingergap.store.proxy_state import Memory, Word, recalled
 from gingergap.store.record_store import Book
 from gingergap.store.records import (
     ALIVE,
--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -19,7 +19,7 @@
 from ..sip.message import BadMessageError, Message, response
 from ..sip.transactions import MAGIC, Client, Hop, Lost, Server, Transactions, Wire
 from ..store.audit import Audit
-from ..store.memory import Memory, Recalled, Word
+from ..store.proxy_state import Memory, Recalled, Word
 from ..store.records import KeptStanding
 from ..trace.stored_names import stored_arguments
 from ..trace.tape import Tape, answer_to, crossing, recorded
--- a/gingergap/edge/remembering.py
+++ b/gingergap/edge/remembering.py
@@ -10,7 +10,7 @@
 
 from gevent.lock import BoundedSemaphore
 
-from ..store.memory import Memory, Recalled, recalled, word_of
+from ..store.proxy_state import Memory, Recalled, recalled, word_of
 from ..store.record_store import BadStoreError, Book
 from ..store.records import CALLER, KeptAlive
 from .proxy import EdgeProxy
--- a/gingergap/edge/serve.py
+++ b/gingergap/edge/serve.py
@@ -15,7 +15,7 @@
 from ..sip.fields import host_port
 from ..sip.message import BadMessageError, Message
 from ..sip.transactions import Hop
-from ..store.memory import Memory, Recalled
+from ..store.proxy_state import Memory, Recalled
 from ..trace.format import FORMAT, Header, Source
 from ..trace.live import LiveStories
 from ..trace.recorder import Recorder, keep_budget
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -12,7 +12,7 @@
 from gingergap.host import GwState, KnownCaller, KnownExchange, KnownPair, Learned, LegEnd, ListEntry, Rsn
 from gingergap.sip.fields import top_via
 from gingergap.store.audit import Audit
-from gingergap.store.memory import Memory, Word, age_of, recalled
+from gingergap.store.proxy_state import Memory, Word, age_of, recalled
 from gingergap.store.record_store import Book
 from gingergap.store.records import ALIVE, CALLER, EXCHANGE, PAIR, STANDING, TOKEN, KeptAlive, KeptStanding, parts
 from gingergap.trace.replay import learned_of
