--- a/gingergap/membership/codec.py
+++ b/gingergap/membership/codec.py
@@ -69,7 +69,7 @@
         return True
 
 
-class Sealer:
+class DatagramCodec:
     """Seals what leaves and opens what comes, for one member of one life."""
 
     def __init__(self, key: bytes, name: str, life: int) -> None:
--- a/gingergap/membership/transport.py
+++ b/gingergap/membership/transport.py
@@ -6,7 +6,7 @@
 import gevent
 from gevent import socket
 
-from .codec import MOST_BYTES, Refused, Sealer
+from .codec import MOST_BYTES, DatagramCodec, Refused
 
 MEMBERSHIP, DUTIES = 0, 1  # kinds of messages
 
@@ -14,7 +14,7 @@
 class Datagrams:
     """One socket. `got(kind, sender, life, address, body)` is called for each datagram that was proven."""
 
-    def __init__(self, address: tuple[str, int], sealer: Sealer, got: Callable[[int, str, int, str, bytes], None]) -> None:
+    def __init__(self, address: tuple[str, int], sealer: DatagramCodec, got: Callable[[int, str, int, str, bytes], None]) -> None:
         self.address, self.sealer, self.got = address, sealer, got
         self.counts: dict[str, int] = {}
         self.sent = self.sent_bytes = 0
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gingergap.membership.codec import TAG, Refused, Replays, Sealer
+from gingergap.membership.codec import TAG, DatagramCodec, Refused, Replays
 from gingergap.membership.simulated import Network
 from gingergap.membership.swim import SECOND, Standing, Update
 
@@ -190,7 +190,7 @@
 
 
 def pair():
-    return Sealer(b"k" * 32, "a", 1), Sealer(b"k" * 32, "b", 2)
+    return DatagramCodec(b"k" * 32, "a", 1), DatagramCodec(b"k" * 32, "b", 2)
 
 
 def test_what_is_sealed_is_opened_once():
@@ -214,9 +214,9 @@
 @pytest.mark.parametrize(
     ("make", "why"),
     [
-        (lambda: Sealer(b"x" * 32, "a", 1).seal("b", 0, b""), "tag"),
-        (lambda: Sealer(b"k" * 32, "a", 1).seal("c", 0, b""), "address"),
-        (lambda: Sealer(b"k" * 32, "b", 2).seal("b", 0, b""), "address"),
+        (lambda: DatagramCodec(b"x" * 32, "a", 1).seal("b", 0, b""), "tag"),
+        (lambda: DatagramCodec(b"k" * 32, "a", 1).seal("c", 0, b""), "address"),
+        (lambda: DatagramCodec(b"k" * 32, "b", 2).seal("b", 0, b""), "address"),
         (lambda: b"short", "form"),
         (lambda: b"x" * 70_000, "form"),
     ],
