--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -20,7 +20,7 @@
 from ..membership import swim
 from ..membership.codec import DatagramCodec
 from ..membership.swim import Members
-from ..membership.transport import DUTIES, MEMBERSHIP, Datagrams
+from ..membership.transport import DUTIES, MEMBERSHIP, DatagramSocket
 from ..scheduler.runner import Runner
 from ..scheduler.task_scheduler import Background, WorkClass
 from ..sip.fields import host_port
@@ -94,7 +94,7 @@
         self.proxy, self.work, self.clock, self.log, self.name = proxy, work, clock, log, name
         self.everybody = everybody
         life = time.time_ns() // 1_000_000 << 8 | secrets.randbits(8)
-        self.datagrams = Datagrams(host_port(listen), DatagramCodec(key, name, life), self._got)
+        self.datagrams = DatagramSocket(host_port(listen), DatagramCodec(key, name, life), self._got)
         now = clock()
         self.members = Members(
             self,
--- a/gingergap/membership/transport.py
+++ b/gingergap/membership/transport.py
@@ -11,7 +11,7 @@
 MEMBERSHIP, DUTIES = 0, 1  # kinds of messages
 
 
-class Datagrams:
+class DatagramSocket:
     """One socket. `got(kind, sender, life, address, body)` is called for each datagram that was proven."""
 
     def __init__(self, address: tuple[str, int], sealer: DatagramCodec, got: Callable[[int, str, int, str, bytes], None]) -> None:
