--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -19,7 +19,7 @@
 from ..duties.manager import Duty, Keeper
 from ..membership import swim
 from ..membership.codec import DatagramCodec
-from ..membership.swim import Members
+from ..membership.swim import Membership
 from ..membership.transport import DUTIES, MEMBERSHIP, DatagramSocket
 from ..scheduler.runner import Runner
 from ..scheduler.task_scheduler import Background, WorkClass
@@ -96,7 +96,7 @@
         life = time.time_ns() // 1_000_000 << 8 | secrets.randbits(8)
         self.datagrams = DatagramSocket(host_port(listen), DatagramCodec(key, name, life), self._got)
         now = clock()
-        self.members = Members(
+        self.members = Membership(
             self,
             Random(secrets.randbits(64)),
             now,
--- a/gingergap/membership/simulated.py
+++ b/gingergap/membership/simulated.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from .swim import ENCODER, Members, Message
+from .swim import ENCODER, Membership, Message
 
 
 class Node:
@@ -22,7 +22,7 @@
         self.taken: list[str] = []
         self.inbox: list[Callable[[], None]] = []
         self.sent = self.sent_bytes = 0
-        self.members = Members(self, Random(f"{net.seed} {name} {life}"), net.now, name, self.address, life, **figures)
+        self.members = Membership(self, Random(f"{net.seed} {name} {life}"), net.now, name, self.address, life, **figures)
 
     def send(self, to: str, address: str, message: Message) -> None:
         self.sent += 1
--- a/gingergap/membership/swim.py
+++ b/gingergap/membership/swim.py
@@ -115,7 +115,7 @@
         self.asked = self.nacks = 0
 
 
-class Members:
+class Membership:
     """`period` between pings, `timeout` for a direct answer, `indirect` helpers; a suspicion lasts `patience` periods
     times the logarithm of the size, and up to `widest` times that while nobody confirms it. `most_updates` ride on a
     message. `seeds` are addresses where others may be found."""
