--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -312,7 +312,7 @@
             {
                 "name": member.name,
                 "address": member.address,
-                "standing": member.standing.name.lower(),
+                "standing": member.state.name.lower(),
                 "incarnation": member.incarnation,
                 "since_s": round((now - member.since) / SECOND, 1),
                 "own": False,
--- a/gingergap/membership/swim.py
+++ b/gingergap/membership/swim.py
@@ -16,7 +16,7 @@
 import msgspec
 
 
-class Standing(IntEnum):
+class MemberState(IntEnum):
     """In the order in which one word overrides another of the same incarnation."""
 
     ALIVE = 0
@@ -32,7 +32,7 @@
     address: str
     life: int
     incarnation: int
-    standing: int
+    state: int
     weight: int = 1
     by: str = ""
 
@@ -92,16 +92,16 @@
 class Member:
     """What is known of another."""
 
-    __slots__ = ("name", "address", "life", "incarnation", "standing", "weight", "since", "by", "deadline", "began")
+    __slots__ = ("name", "address", "life", "incarnation", "state", "weight", "since", "by", "deadline", "began")
 
     def __init__(self, word: Update, now: int) -> None:
         self.name, self.address, self.life, self.weight = word.name, word.address, word.life, word.weight
-        self.incarnation, self.standing, self.since = word.incarnation, Standing(word.standing), now
+        self.incarnation, self.state, self.since = word.incarnation, MemberState(word.state), now
         self.by: set[str] = set()  # who has confirmed the suspicion
         self.deadline = self.began = 0
 
     def word(self, by: str = "") -> Update:
-        return Update(self.name, self.address, self.life, self.incarnation, int(self.standing), self.weight, by)
+        return Update(self.name, self.address, self.life, self.incarnation, int(self.state), self.weight, by)
 
 
 class Probe:
@@ -240,13 +240,13 @@
 
     def present(self) -> dict[str, int]:
         """Names that count as there, oneself included, with their weights: suspects are there until they are dead."""
-        there = {member.name: member.weight for member in self.others.values() if member.standing <= Standing.SUSPECT}
+        there = {member.name: member.weight for member in self.others.values() if member.state <= MemberState.SUSPECT}
         if not (self.leaving or self.out):
             there[self.name] = self.weight
         return there
 
     def size(self) -> int:
-        return 1 + sum(member.standing <= Standing.SUSPECT for member in self.others.values())
+        return 1 + sum(member.state <= MemberState.SUSPECT for member in self.others.values())
 
     # --- probing ---
 
@@ -254,10 +254,10 @@
         self._at(self.now + self.period * (1 + self.health), "probe")
         while self.ring:
             member = self.others.get(self.ring.pop())
-            if member is not None and member.standing <= Standing.SUSPECT:
+            if member is not None and member.state <= MemberState.SUSPECT:
                 break
         else:
-            self.ring = [name for name, one in self.others.items() if one.standing <= Standing.SUSPECT]
+            self.ring = [name for name, one in self.others.items() if one.state <= MemberState.SUSPECT]
             self.draw.shuffle(self.ring)
             if not self.ring:
                 return
@@ -274,7 +274,7 @@
             return
         target = self.others[probe.target]
         helpers = self._some(
-            [member for member in self.others.values() if member.standing == Standing.ALIVE and member is not target], self.indirect
+            [member for member in self.others.values() if member.state == MemberState.ALIVE and member is not target], self.indirect
         )
         probe.asked = len(helpers)
         for helper in helpers:
@@ -305,9 +305,9 @@
         member = self.others.get(probe.target)
         # No answer from helpers either: the fault may be ours (Lifeguard section IV.A).
         self._unwell(1 if probe.asked and probe.nacks < probe.asked else 0)
-        if member is not None and member.life == probe.life and member.standing == Standing.ALIVE:
+        if member is not None and member.life == probe.life and member.state == MemberState.ALIVE:
             word = member.word(self.name)
-            word.standing = int(Standing.SUSPECT)
+            word.state = int(MemberState.SUSPECT)
             self._apply(word)
 
     def _relay_over(self, seq: int) -> None:
@@ -323,16 +323,16 @@
     def _judge_suspicions(self) -> None:
         for name in sorted(self.suspects):
             member = self.others.get(name)
-            if member is None or member.standing != Standing.SUSPECT:
+            if member is None or member.state != MemberState.SUSPECT:
                 self.suspects.discard(name)
             elif self.now >= member.deadline:
                 word = member.word()
-                word.standing = int(Standing.DEAD)
+                word.state = int(MemberState.DEAD)
                 self._apply(word)
 
     def _forget_old(self) -> None:
         for member in list(self.others.values()):
-            if member.standing >= Standing.DEAD and self.now - member.since > self.forget_after:
+            if member.state >= MemberState.DEAD and self.now - member.since > self.forget_after:
                 del self.others[member.name]
                 self.news.pop(member.name, None)
 
@@ -353,45 +353,45 @@
         for word in updates:
             if word.name == self.name:
                 self._heard_of_self(word)
-            elif 0 <= word.standing <= Standing.LEFT:
+            elif 0 <= word.state <= MemberState.LEFT:
                 self._apply(word)
 
     def _apply(self, word: Update) -> None:
         member = self.others.get(word.name)
         if member is None:
-            if word.standing > Standing.SUSPECT:
+            if word.state > MemberState.SUSPECT:
                 return  # nobody we knew
             member = self.others[word.name] = Member(word, self.now)
             self.ring.insert(self.draw.randrange(len(self.ring) + 1), word.name)
-            if member.standing == Standing.SUSPECT:
+            if member.state == MemberState.SUSPECT:
                 self._suspect(member, word.by)
             self.news[word.name] = word, 0
             self.host.member_up(word.name)
             return
-        if (word.life, word.incarnation, word.standing) == (member.life, member.incarnation, member.standing):
-            if member.standing == Standing.SUSPECT and word.by and word.by not in member.by:
+        if (word.life, word.incarnation, word.state) == (member.life, member.incarnation, member.state):
+            if member.state == MemberState.SUSPECT and word.by and word.by not in member.by:
                 member.by.add(word.by)
                 member.deadline = member.began + self._suspicion(member)
                 if len(member.by) <= 4:
                     self.news[word.name] = word, 0  # confirmations spread too, a few of them
             return
         if word.life == member.life:
-            newer = (word.incarnation, word.standing) > (member.incarnation, member.standing)
+            newer = (word.incarnation, word.state) > (member.incarnation, member.state)
         else:
             newer = (word.incarnation, -word.life) > (member.incarnation, -member.life)
         if not newer:
             return
-        was, another = member.standing, word.life != member.life
+        was, another = member.state, word.life != member.life
         member.address, member.life, member.weight = word.address, word.life, word.weight
-        member.incarnation, member.standing, member.since = word.incarnation, Standing(word.standing), self.now
+        member.incarnation, member.state, member.since = word.incarnation, MemberState(word.state), self.now
         member.by = set()
         self.news[word.name] = word, 0
-        if member.standing == Standing.SUSPECT:
+        if member.state == MemberState.SUSPECT:
             self._suspect(member, word.by)
-        there = member.standing <= Standing.SUSPECT
-        if was <= Standing.SUSPECT and (not there or another):
-            self.host.member_down(word.name, member.standing == Standing.LEFT)
-        if there and (was > Standing.SUSPECT or another):
+        there = member.state <= MemberState.SUSPECT
+        if was <= MemberState.SUSPECT and (not there or another):
+            self.host.member_down(word.name, member.state == MemberState.LEFT)
+        if there and (was > MemberState.SUSPECT or another):
             self.host.member_up(word.name)
 
     def _suspect(self, member: Member, by: str) -> None:
@@ -402,7 +402,7 @@
 
     def _heard_of_self(self, word: Update) -> None:
         if word.life == self.life:
-            if word.standing != Standing.ALIVE and word.incarnation >= self.incarnation and not self.leaving:
+            if word.state != MemberState.ALIVE and word.incarnation >= self.incarnation and not self.leaving:
                 self.incarnation = word.incarnation + 1
                 self.false_alarms += 1
                 self._unwell(1)
@@ -410,7 +410,7 @@
             return
         if word.incarnation < self.incarnation:
             return  # superseded already
-        if word.standing > Standing.SUSPECT or word.address == self.address:
+        if word.state > MemberState.SUSPECT or word.address == self.address:
             self.incarnation = word.incarnation + 1  # our own life before this one
             self._say_own()
         elif not any(rival == word.life for rival, _, _ in self.claims.values()):
@@ -448,15 +448,15 @@
         self.news[self.name] = self._own(), 0
 
     def _own(self) -> Update:
-        standing = Standing.LEFT if self.leaving else Standing.ALIVE
-        return Update(self.name, self.address, self.life, self.incarnation, int(standing), self.weight)
+        state = MemberState.LEFT if self.leaving else MemberState.ALIVE
+        return Update(self.name, self.address, self.life, self.incarnation, int(state), self.weight)
 
     def _riders(self, to: str) -> list[Update]:
         """What rides on a message: a suspicion of the receiver first, so that it can refute; then what was sent least.
         Each word is sent some three times the logarithm of the size, which reaches all with high chance (SWIM 4.1)."""
         riders = []
         member = self.others.get(to)
-        if member is not None and member.standing != Standing.ALIVE:
+        if member is not None and member.state != MemberState.ALIVE:
             riders.append(member.word(next(iter(sorted(member.by)), "")))
         limit = math.ceil(3 * math.log2(self.size() + 1))
         for name in sorted(self.news, key=lambda one: self.news[one][1])[: self.most_updates]:
@@ -477,11 +477,11 @@
         """Mend what updates missed, with one who is there; and knock where the dead and the seeds are or were, so that
         the parts of a split find each other again."""
         self._forget_old()
-        there = [member for member in self.others.values() if member.standing <= Standing.SUSPECT]
+        there = [member for member in self.others.values() if member.state <= MemberState.SUSPECT]
         for member in self._some(there, 1):
             self.host.send(member.name, member.address, Sync(self._part(), True))
         known = {member.address for member in there}
-        gone = [member.address for member in self.others.values() if member.standing == Standing.DEAD]
+        gone = [member.address for member in self.others.values() if member.state == MemberState.DEAD]
         strangers = sorted(set(gone) | set(self.seeds) - known)
         for address in self._some(strangers, 2 if there else 4):
             self.host.send("", address, Sync(self._part(), True))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -7,7 +7,7 @@
 
 from gingergap.membership.codec import TAG, DatagramCodec, Refused, Replays
 from gingergap.membership.simulated import Network
-from gingergap.membership.swim import SECOND, Standing, Update
+from gingergap.membership.swim import SECOND, MemberState, Update
 
 
 def network(count, seed=1, **how):
@@ -150,9 +150,9 @@
     net, nodes, names = network(3)
     member = nodes[0].members.others["m1"]
     member.incarnation = 7
-    for standing in Standing:
-        nodes[0].members._hear([Update("m1", "wrong", 1, 6, int(standing))])
-    assert member.standing == Standing.ALIVE and member.address == "at-m1"
+    for state in MemberState:
+        nodes[0].members._hear([Update("m1", "wrong", 1, 6, int(state))])
+    assert member.state == MemberState.ALIVE and member.address == "at-m1"
 
 
 UPDATES = st.builds(
@@ -161,7 +161,7 @@
     address=st.sampled_from(["at-m1", "at-x", ""]),
     life=st.integers(0, 3),
     incarnation=st.integers(0, 5),
-    standing=st.integers(-1, 6),
+    state=st.integers(-1, 6),
     weight=st.integers(0, 3),
     by=st.sampled_from(["", "m1", "m2"]),
 )
