--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -150,7 +150,7 @@
         while True:
             gevent.sleep(STEP)
             now = self.clock()
-            self.members.due(now)
+            self.members.tick(now)
             steps += 1
             if steps % 4 == 0:
                 self.keeper.due(now, self.members.present())
--- a/gingergap/membership/simulated.py
+++ b/gingergap/membership/simulated.py
@@ -95,7 +95,7 @@
         if not node.running:
             return
         if self.now >= node.paused_until:
-            node.members.due(self.now)
+            node.members.tick(self.now)
             inbox, node.inbox = node.inbox, []
             for arrive in inbox:
                 arrive()
--- a/gingergap/membership/swim.py
+++ b/gingergap/membership/swim.py
@@ -168,7 +168,7 @@
 
     # --- what can happen ---
 
-    def due(self, now: int) -> None:
+    def tick(self, now: int) -> None:
         """Time has passed. To be called several times a timeout; a long gap means that we stood still."""
         gap = now - self.last_due
         if gap > 2 * self.timeout:
