--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -161,7 +161,7 @@
         now = self.clock()
         try:
             if kind == MEMBERSHIP:
-                self.members.received(now, sender, life, address, swim.DECODER.decode(body))
+                self.members.handle_message(now, sender, life, address, swim.DECODER.decode(body))
             elif kind == DUTIES and sender in self.everybody:
                 self._heard(now, sender, address, messages.DECODER.decode(body))
         except msgspec.MsgspecError:
--- a/gingergap/membership/simulated.py
+++ b/gingergap/membership/simulated.py
@@ -89,7 +89,7 @@
             if self.now < target.paused_until:
                 target.inbox.append(lambda: self._arrive(source, target, message))
             else:
-                target.members.received(self.now, source.name, source.life, source.address, message)
+                target.members.handle_message(self.now, source.name, source.life, source.address, message)
 
     def _tick(self, node: Node) -> None:
         if not node.running:
--- a/gingergap/membership/swim.py
+++ b/gingergap/membership/swim.py
@@ -201,7 +201,7 @@
         if self.suspects and not self.out:
             self._judge_suspicions()
 
-    def received(self, now: int, sender: str, life: int, address: str, message: Message) -> None:
+    def handle_message(self, now: int, sender: str, life: int, address: str, message: Message) -> None:
         """A message whose sender has been proven."""
         self.now = now
         if self.out:
