--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -153,7 +153,7 @@
             self.members.tick(now)
             steps += 1
             if steps % 4 == 0:
-                self.keeper.due(now, self.members.present())
+                self.keeper.due(now, self.members.active_members())
 
     # --- datagrams ---
 
@@ -173,7 +173,7 @@
                 granted, newest = self.keeper.asked(now, duty, Token(counter, holder), lasts, done_ago)
                 self._tell(sender, address, messages.Vote(duty, counter, granted, newest))
             case messages.Vote(duty, counter, granted, newest):
-                self.keeper.voted(now, sender, duty, counter, granted, newest, self.members.present())
+                self.keeper.voted(now, sender, duty, counter, granted, newest, self.members.active_members())
             case messages.Release(duty, counter, holder):
                 self.keeper.released(now, duty, Token(counter, holder))
             case messages.Learned(duty, _, _, what, value, age):
--- a/gingergap/membership/simulated.py
+++ b/gingergap/membership/simulated.py
@@ -115,7 +115,7 @@
     def agree(self, names: set[str]) -> bool:
         """Whether every running node of those names sees just those."""
         return all(
-            set(node.members.present()) == names
+            set(node.members.active_members()) == names
             for node in self.nodes.values()
             if node.name in names and self.now >= node.paused_until
         )
--- a/gingergap/membership/swim.py
+++ b/gingergap/membership/swim.py
@@ -238,7 +238,7 @@
 
     # --- what others read ---
 
-    def present(self) -> dict[str, int]:
+    def active_members(self) -> dict[str, int]:
         """Names that count as there, oneself included, with their weights: suspects are there until they are dead."""
         there = {member.name: member.weight for member in self.others.values() if member.state <= MemberState.SUSPECT}
         if not (self.leaving or self.out):
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -36,7 +36,7 @@
 def test_who_leaves_is_gone_at_once_and_for_good():
     net, nodes, names = network(6)
     nodes[2].members.leave(net.now)
-    took = net.run(10 * SECOND, lambda: all("m2" not in node.members.present() for node in nodes))
+    took = net.run(10 * SECOND, lambda: all("m2" not in node.members.active_members() for node in nodes))
     assert took < 3 * SECOND
     net.run(20 * SECOND)
     assert all(("m2", True) in [entry[1:] for entry in node.downs] for node in nodes if node.name != "m2")
@@ -104,7 +104,7 @@
     net, nodes, names = network(8)
     net.pause(nodes[0], 30 * SECOND)
     net.run(29 * SECOND)
-    assert all("m0" not in node.members.present() for node in nodes[1:])
+    assert all("m0" not in node.members.active_members() for node in nodes[1:])
     net.run(60 * SECOND, lambda: net.agree(names))
     assert net.agree(names)
     assert not nodes[0].downs  # on waking it declared nobody dead
@@ -174,7 +174,7 @@
     nodes[0].members._hear(words)
     net.run(5 * SECOND)
     if not nodes[0].members.out:
-        assert "m0" in nodes[0].members.present()
+        assert "m0" in nodes[0].members.active_members()
 
 
 def test_one_that_stays_alone_asks_at_a_steady_rate():
