--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -302,7 +302,7 @@
         own = {
             "name": self.name,
             "address": self.members.address,
-            "standing": "out" if self.members.out else "left" if self.members.leaving else "alive",
+            "standing": "out" if self.members.suspended else "left" if self.members.leaving else "alive",
             "incarnation": self.members.incarnation,
             "since_s": None,
             "own": True,
--- a/gingergap/membership/swim.py
+++ b/gingergap/membership/swim.py
@@ -160,7 +160,7 @@
         self.heap: list[tuple[int, int, str, int]] = []
         self.pushed = 0
         self.last_due = now
-        self.leaving = self.out = False
+        self.leaving = self.suspended = False
         self.false_alarms = 0  # suspicions of us that we had to refute
         self._say_own()
         self._at(now + draw.randrange(period), "probe")
@@ -181,7 +181,7 @@
         self.last_due = self.now = now
         while self.heap and self.heap[0][0] <= now:
             _, _, what, about = heappop(self.heap)
-            if self.out and what != "again":
+            if self.suspended and what != "again":
                 continue
             match what:
                 case "probe":
@@ -198,13 +198,13 @@
                     self._sync()
                 case "again":
                     self._come_again()
-        if self.suspects and not self.out:
+        if self.suspects and not self.suspended:
             self._judge_suspicions()
 
     def handle_message(self, now: int, sender: str, life: int, address: str, message: Message) -> None:
         """A message whose sender has been proven."""
         self.now = now
-        if self.out:
+        if self.suspended:
             return
         match message:
             case Ping(seq, updates):
@@ -241,7 +241,7 @@
     def active_members(self) -> dict[str, int]:
         """Names that count as there, oneself included, with their weights: suspects are there until they are dead."""
         there = {member.name: member.weight for member in self.others.values() if member.state <= MemberState.SUSPECT}
-        if not (self.leaving or self.out):
+        if not (self.leaving or self.suspended):
             there[self.name] = self.weight
         return there
 
@@ -429,7 +429,7 @@
     def _rival_lives(self, life: int, incarnation: int, address: str) -> None:
         """Two instances under one name: the younger stays out, and asks again later."""
         if life < self.life:
-            self.out = True
+            self.suspended = True
             self._at(self.now + 20 * self.period, "again")
             self.host.name_taken(address)
         else:
@@ -437,7 +437,7 @@
             self._say_own()
 
     def _come_again(self) -> None:
-        self.out = False
+        self.suspended = False
         self.heap.clear()
         self._at(self.now + self.period, "probe")
         self._at(self.now + 1, "sync")
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -173,7 +173,7 @@
     net, nodes, names = network(3)
     nodes[0].members._hear(words)
     net.run(5 * SECOND)
-    if not nodes[0].members.out:
+    if not nodes[0].members.suspended:
         assert "m0" in nodes[0].members.active_members()
 
 
