--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -306,7 +306,7 @@
             "incarnation": self.members.incarnation,
             "since_s": None,
             "own": True,
-            "health": self.members.health,
+            "health": self.members.health_score,
         }
         return [own] + [
             {
--- a/gingergap/membership/swim.py
+++ b/gingergap/membership/swim.py
@@ -148,7 +148,7 @@
         self.patience, self.widest, self.most_updates = patience, widest, most_updates
         self.sync_every, self.forget_after, self.most_health = sync_every, forget_after, most_health
         self.incarnation = 1
-        self.health = 0  # Lifeguard's local health multiplier, 0: well
+        self.health_score = 0  # Lifeguard's local health multiplier, 0: well
         self.others: dict[str, Member] = {}
         self.suspects: set[str] = set()
         self.ring: list[str] = []
@@ -251,7 +251,7 @@
     # --- probing ---
 
     def _probe(self) -> None:
-        self._at(self.now + self.period * (1 + self.health), "probe")
+        self._at(self.now + self.period * (1 + self.health_score), "probe")
         while self.ring:
             member = self.others.get(self.ring.pop())
             if member is not None and member.state <= MemberState.SUSPECT:
@@ -265,8 +265,8 @@
         self.seq += 1
         self.probes[self.seq] = Probe(member.name, member.life)
         self.host.send(member.name, member.address, Ping(self.seq, self._riders(member.name)))
-        self._at(self.now + self.timeout * (1 + self.health), "indirect", self.seq)
-        self._at(self.now + self.period * (1 + self.health) - 1, "end", self.seq)
+        self._at(self.now + self.timeout * (1 + self.health_score), "indirect", self.seq)
+        self._at(self.now + self.period * (1 + self.health_score) - 1, "end", self.seq)
 
     def _ask_others(self, seq: int) -> None:
         probe = self.probes.get(seq)
@@ -296,7 +296,7 @@
         probe = self.probes.get(seq)
         if probe is not None and not probe.acked:
             probe.acked = True
-            self.health = max(0, self.health - 1)
+            self.health_score = max(0, self.health_score - 1)
 
     def _probe_over(self, seq: int) -> None:
         probe = self.probes.pop(seq, None)
@@ -316,7 +316,7 @@
             self.host.send(relay[0], relay[1], Nack(relay[2]))
 
     def _unwell(self, by: int) -> None:
-        self.health = min(self.most_health, self.health + by)
+        self.health_score = min(self.most_health, self.health_score + by)
 
     # --- suspicions ---
 
