--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -314,7 +314,7 @@
                 "address": member.address,
                 "standing": member.state.name.lower(),
                 "incarnation": member.incarnation,
-                "since_s": round((now - member.since) / SECOND, 1),
+                "since_s": round((now - member.state_since) / SECOND, 1),
                 "own": False,
             }
             for member in sorted(self.members.others.values(), key=lambda one: one.name)
--- a/gingergap/membership/swim.py
+++ b/gingergap/membership/swim.py
@@ -92,11 +92,11 @@
 class Member:
     """What is known of another."""
 
-    __slots__ = ("name", "address", "life", "incarnation", "state", "weight", "since", "by", "deadline", "began")
+    __slots__ = ("name", "address", "life", "incarnation", "state", "weight", "state_since", "by", "deadline", "began")
 
     def __init__(self, word: Update, now: int) -> None:
         self.name, self.address, self.life, self.weight = word.name, word.address, word.life, word.weight
-        self.incarnation, self.state, self.since = word.incarnation, MemberState(word.state), now
+        self.incarnation, self.state, self.state_since = word.incarnation, MemberState(word.state), now
         self.by: set[str] = set()  # who has confirmed the suspicion
         self.deadline = self.began = 0
 
@@ -332,7 +332,7 @@
 
     def _forget_old(self) -> None:
         for member in list(self.others.values()):
-            if member.state >= MemberState.DEAD and self.now - member.since > self.forget_after:
+            if member.state >= MemberState.DEAD and self.now - member.state_since > self.forget_after:
                 del self.others[member.name]
                 self.news.pop(member.name, None)
 
@@ -383,7 +383,7 @@
             return
         was, another = member.state, word.life != member.life
         member.address, member.life, member.weight = word.address, word.life, word.weight
-        member.incarnation, member.state, member.since = word.incarnation, MemberState(word.state), self.now
+        member.incarnation, member.state, member.state_since = word.incarnation, MemberState(word.state), self.now
         member.by = set()
         self.news[word.name] = word, 0
         if member.state == MemberState.SUSPECT:
