--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -107,7 +107,7 @@
             period=period,
             timeout=period * 3 // 10,
             seeds=tuple(everybody.values()),
-            sync_every=10 * period,
+            sync_interval=10 * period,
         )
         duties = [Duty(f"probe {exchange}", probe_every, probe_limit, cost=0.5) for exchange in proxy.ids]
         duties.append(Duty("check list", 2 * probe_every, 2 * probe_limit, cost=0.2, worth=2.0, once=False))
--- a/gingergap/membership/swim.py
+++ b/gingergap/membership/swim.py
@@ -137,7 +137,7 @@
         patience: float = 3.0,
         widest: float = 4.0,
         most_updates: int = 10,
-        sync_every: int = 50_000,
+        sync_interval: int = 50_000,
         forget_after: int = 600_000,
         most_health: int = 8,
     ) -> None:
@@ -146,7 +146,7 @@
         self.seeds = tuple(seed for seed in seeds if seed != address)
         self.period, self.timeout, self.indirect = period, timeout, indirect
         self.patience, self.widest, self.most_updates = patience, widest, most_updates
-        self.sync_every, self.forget_after, self.most_health = sync_every, forget_after, most_health
+        self.sync_interval, self.forget_after, self.most_health = sync_interval, forget_after, most_health
         self.incarnation = 1
         self.health_score = 0  # Lifeguard's local health multiplier, 0: well
         self.others: dict[str, Member] = {}
@@ -487,7 +487,7 @@
             self.host.send("", address, Sync(self._part(), True))
         # One event, whatever the case: a second one for the lonely doubled their number each time they stayed alone.
         alone = not there and self.seeds
-        self._at(self.now + (self.period if alone else self.sync_every // 2 + self.draw.randrange(self.sync_every)), "sync")
+        self._at(self.now + (self.period if alone else self.sync_interval // 2 + self.draw.randrange(self.sync_interval)), "sync")
 
     def _some(self, pool: list, many: int) -> list:
         return self.draw.sample(pool, min(many, len(pool)))
