--- a/gingergap/membership/codec.py
+++ b/gingergap/membership/codec.py
@@ -23,7 +23,7 @@
 
     version: int
     sender: str
-    life: int
+    generation: int
     count: int
     to: str
     kind: int
@@ -32,7 +32,7 @@
 
 class Opened(NamedTuple):
     sender: str
-    life: int
+    generation: int
     kind: int
     body: bytes
 
@@ -47,9 +47,9 @@
     def __init__(self) -> None:
         self.seen: OrderedDict[tuple[str, int], list[int]] = OrderedDict()
 
-    def fresh(self, sender: str, life: int, count: int) -> bool:
+    def fresh(self, sender: str, generation: int, count: int) -> bool:
         """Whether this count has not been taken, and takes it."""
-        key = sender, life
+        key = sender, generation
         window = self.seen.get(key)
         if window is None:
             self.seen[key] = [count, 1]
@@ -72,8 +72,8 @@
 class DatagramCodec:
     """Seals what leaves and opens what comes, for one member of one life."""
 
-    def __init__(self, key: bytes, name: str, life: int) -> None:
-        self.key, self.name, self.life = key, name, life
+    def __init__(self, key: bytes, name: str, generation: int) -> None:
+        self.key, self.name, self.generation = key, name, generation
         self.count = 0
         self.replays = Replays()
         self.encoder = msgspec.msgpack.Encoder()
@@ -81,7 +81,7 @@
 
     def seal(self, to: str, kind: int, body: bytes) -> bytes:
         self.count += 1
-        data = self.encoder.encode(Envelope(VERSION, self.name, self.life, self.count, to, kind, body))
+        data = self.encoder.encode(Envelope(VERSION, self.name, self.generation, self.count, to, kind, body))
         return data + hmac.digest(self.key, data, "sha256")[:TAG]
 
     def open(self, data: bytes) -> Opened:
@@ -97,8 +97,8 @@
             envelope = self.decoder.decode(whole)
         except msgspec.MsgspecError:
             raise Refused("form") from None
-        if envelope.to not in ("", self.name) or (envelope.sender, envelope.life) == (self.name, self.life):
+        if envelope.to not in ("", self.name) or (envelope.sender, envelope.generation) == (self.name, self.generation):
             raise Refused("address")
-        if not self.replays.fresh(envelope.sender, envelope.life, envelope.count):
+        if not self.replays.fresh(envelope.sender, envelope.generation, envelope.count):
             raise Refused("replay")
-        return Opened(envelope.sender, envelope.life, envelope.kind, envelope.body)
+        return Opened(envelope.sender, envelope.generation, envelope.kind, envelope.body)
--- a/gingergap/membership/simulated.py
+++ b/gingergap/membership/simulated.py
@@ -13,8 +13,8 @@
 class Node:
     """One member; also the host of its `Members`."""
 
-    def __init__(self, net: "Network", name: str, life: int, **figures) -> None:
-        self.net, self.name, self.life, self.address = net, name, life, f"at-{name}"
+    def __init__(self, net: "Network", name: str, generation: int, **figures) -> None:
+        self.net, self.name, self.generation, self.address = net, name, generation, f"at-{name}"
         self.paused_until = 0.0
         self.running = True
         self.ups: list[str] = []
@@ -22,7 +22,9 @@
         self.taken: list[str] = []
         self.inbox: list[Callable[[], None]] = []
         self.sent = self.sent_bytes = 0
-        self.members = Membership(self, Random(f"{net.seed} {name} {life}"), net.now, name, self.address, life, **figures)
+        self.members = Membership(
+            self, Random(f"{net.seed} {name} {generation}"), net.now, name, self.address, generation, **figures
+        )
 
     def send(self, to: str, address: str, message: Message) -> None:
         self.sent += 1
@@ -51,14 +53,14 @@
         self.pushed = 0
         self.cut: Callable[[str, str], bool] = lambda source, target: False
 
-    def start(self, name: str, life: int = 1, address: str = "", **figures) -> Node:
-        node = Node(self, name, life, **figures) if not address else self._at_address(name, life, address, figures)
+    def start(self, name: str, generation: int = 1, address: str = "", **figures) -> Node:
+        node = Node(self, name, generation, **figures) if not address else self._at_address(name, generation, address, figures)
         self.nodes[node.address] = node
         self.at(self.now + self.draw.randrange(self.tick), lambda: self._tick(node))
         return node
 
-    def _at_address(self, name: str, life: int, address: str, figures: dict) -> Node:
-        node = Node(self, name, life, **figures)
+    def _at_address(self, name: str, generation: int, address: str, figures: dict) -> Node:
+        node = Node(self, name, generation, **figures)
         node.address = node.members.address = address
         node.members.seeds = tuple(seed for seed in node.members.seeds if seed != address)
         node.members._say_own()
@@ -89,7 +91,7 @@
             if self.now < target.paused_until:
                 target.inbox.append(lambda: self._arrive(source, target, message))
             else:
-                target.members.handle_message(self.now, source.name, source.life, source.address, message)
+                target.members.handle_message(self.now, source.name, source.generation, source.address, message)
 
     def _tick(self, node: Node) -> None:
         if not node.running:
--- a/gingergap/membership/swim.py
+++ b/gingergap/membership/swim.py
@@ -30,7 +30,7 @@
 
     name: str
     address: str
-    life: int
+    generation: int
     incarnation: int
     state: int
     weight: int = 1
@@ -92,25 +92,25 @@
 class Member:
     """What is known of another."""
 
-    __slots__ = ("name", "address", "life", "incarnation", "state", "weight", "state_since", "by", "deadline", "began")
+    __slots__ = ("name", "address", "generation", "incarnation", "state", "weight", "state_since", "by", "deadline", "began")
 
     def __init__(self, word: Update, now: int) -> None:
-        self.name, self.address, self.life, self.weight = word.name, word.address, word.life, word.weight
+        self.name, self.address, self.generation, self.weight = word.name, word.address, word.generation, word.weight
         self.incarnation, self.state, self.state_since = word.incarnation, MemberState(word.state), now
         self.by: set[str] = set()  # who has confirmed the suspicion
         self.deadline = self.began = 0
 
     def word(self, by: str = "") -> Update:
-        return Update(self.name, self.address, self.life, self.incarnation, int(self.state), self.weight, by)
+        return Update(self.name, self.address, self.generation, self.incarnation, int(self.state), self.weight, by)
 
 
 class Probe:
     """A ping of ours under way."""
 
-    __slots__ = ("target", "life", "acked", "asked", "nacks")
+    __slots__ = ("target", "generation", "acked", "asked", "nacks")
 
-    def __init__(self, target: str, life: int) -> None:
-        self.target, self.life = target, life
+    def __init__(self, target: str, generation: int) -> None:
+        self.target, self.generation = target, generation
         self.acked = False
         self.asked = self.nacks = 0
 
@@ -127,7 +127,7 @@
         now: int,
         name: str,
         address: str,
-        life: int,
+        generation: int,
         weight: int = 1,
         *,
         seeds: tuple[str, ...] = (),
@@ -142,7 +142,7 @@
         most_health: int = 8,
     ) -> None:
         self.host, self.draw, self.now = host, draw, now
-        self.name, self.address, self.life, self.weight = name, address, life, weight
+        self.name, self.address, self.generation, self.weight = name, address, generation, weight
         self.seeds = tuple(seed for seed in seeds if seed != address)
         self.period, self.timeout, self.indirect = period, timeout, indirect
         self.patience, self.widest, self.most_updates = patience, widest, most_updates
@@ -201,7 +201,7 @@
         if self.suspects and not self.suspended:
             self._judge_suspicions()
 
-    def handle_message(self, now: int, sender: str, life: int, address: str, message: Message) -> None:
+    def handle_message(self, now: int, sender: str, generation: int, address: str, message: Message) -> None:
         """A message whose sender has been proven."""
         self.now = now
         if self.suspended:
@@ -212,7 +212,7 @@
                 self.host.send(sender, address, Ack(seq, self._riders(sender)))
             case Ack(seq, updates):
                 self._hear(updates)
-                self._acked(seq, sender, life)
+                self._acked(seq, sender, generation)
             case PingFor(seq, name, there, updates):
                 self._hear(updates)
                 self.seq += 1
@@ -263,7 +263,7 @@
                 return
             member = self.others[self.ring.pop()]
         self.seq += 1
-        self.probes[self.seq] = Probe(member.name, member.life)
+        self.probes[self.seq] = Probe(member.name, member.generation)
         self.host.send(member.name, member.address, Ping(self.seq, self._riders(member.name)))
         self._at(self.now + self.timeout * (1 + self.health_score), "indirect", self.seq)
         self._at(self.now + self.period * (1 + self.health_score) - 1, "end", self.seq)
@@ -282,14 +282,14 @@
         # The datagram or its answer may just have been lost: one more try from here, as good as a helper's.
         self.host.send(target.name, target.address, Ping(seq, self._riders(target.name)))
 
-    def _acked(self, seq: int, sender: str, life: int) -> None:
+    def _acked(self, seq: int, sender: str, generation: int) -> None:
         if seq in self.relays:
             asker, address, theirs = self.relays.pop(seq)
             self.host.send(asker, address, Ack(theirs, self._riders(asker)))
             return
         if seq in self.claims:
             rival, incarnation, address = self.claims[seq]
-            if sender == self.name and life == rival:
+            if sender == self.name and generation == rival:
                 del self.claims[seq]
                 self._rival_lives(rival, incarnation, address)
             return
@@ -305,7 +305,7 @@
         member = self.others.get(probe.target)
         # No answer from helpers either: the fault may be ours (Lifeguard section IV.A).
         self._unwell(1 if probe.asked and probe.nacks < probe.asked else 0)
-        if member is not None and member.life == probe.life and member.state == MemberState.ALIVE:
+        if member is not None and member.generation == probe.generation and member.state == MemberState.ALIVE:
             word = member.word(self.name)
             word.state = int(MemberState.SUSPECT)
             self._apply(word)
@@ -368,21 +368,21 @@
             self.news[word.name] = word, 0
             self.host.member_up(word.name)
             return
-        if (word.life, word.incarnation, word.state) == (member.life, member.incarnation, member.state):
+        if (word.generation, word.incarnation, word.state) == (member.generation, member.incarnation, member.state):
             if member.state == MemberState.SUSPECT and word.by and word.by not in member.by:
                 member.by.add(word.by)
                 member.deadline = member.began + self._suspicion(member)
                 if len(member.by) <= 4:
                     self.news[word.name] = word, 0  # confirmations spread too, a few of them
             return
-        if word.life == member.life:
+        if word.generation == member.generation:
             newer = (word.incarnation, word.state) > (member.incarnation, member.state)
         else:
-            newer = (word.incarnation, -word.life) > (member.incarnation, -member.life)
+            newer = (word.incarnation, -word.generation) > (member.incarnation, -member.generation)
         if not newer:
             return
-        was, another = member.state, word.life != member.life
-        member.address, member.life, member.weight = word.address, word.life, word.weight
+        was, another = member.state, word.generation != member.generation
+        member.address, member.generation, member.weight = word.address, word.generation, word.weight
         member.incarnation, member.state, member.state_since = word.incarnation, MemberState(word.state), self.now
         member.by = set()
         self.news[word.name] = word, 0
@@ -401,7 +401,7 @@
         member.deadline = self.now + self._suspicion(member)
 
     def _heard_of_self(self, word: Update) -> None:
-        if word.life == self.life:
+        if word.generation == self.generation:
             if word.state != MemberState.ALIVE and word.incarnation >= self.incarnation and not self.leaving:
                 self.incarnation = word.incarnation + 1
                 self.false_alarms += 1
@@ -413,10 +413,10 @@
         if word.state > MemberState.SUSPECT or word.address == self.address:
             self.incarnation = word.incarnation + 1  # our own life before this one
             self._say_own()
-        elif not any(rival == word.life for rival, _, _ in self.claims.values()):
+        elif not any(rival == word.generation for rival, _, _ in self.claims.values()):
             # Somebody runs under our name elsewhere, or did a moment ago: ask there.
             self.seq += 1
-            self.claims[self.seq] = word.life, word.incarnation, word.address
+            self.claims[self.seq] = word.generation, word.incarnation, word.address
             self.host.send("", word.address, Ping(self.seq, []))
             self._at(self.now + 2 * self.timeout, "claim", self.seq)
 
@@ -426,9 +426,9 @@
             self.incarnation = max(self.incarnation, claim[1] + 1)
             self._say_own()
 
-    def _rival_lives(self, life: int, incarnation: int, address: str) -> None:
+    def _rival_lives(self, generation: int, incarnation: int, address: str) -> None:
         """Two instances under one name: the younger stays out, and asks again later."""
-        if life < self.life:
+        if generation < self.generation:
             self.suspended = True
             self._at(self.now + 20 * self.period, "again")
             self.host.name_taken(address)
@@ -449,7 +449,7 @@
 
     def _own(self) -> Update:
         state = MemberState.LEFT if self.leaving else MemberState.ALIVE
-        return Update(self.name, self.address, self.life, self.incarnation, int(state), self.weight)
+        return Update(self.name, self.address, self.generation, self.incarnation, int(state), self.weight)
 
     def _riders(self, to: str) -> list[Update]:
         """What rides on a message: a suspicion of the receiver first, so that it can refute; then what was sent least.
--- a/gingergap/membership/transport.py
+++ b/gingergap/membership/transport.py
@@ -70,4 +70,4 @@
                 why = f"refused: {refused}"
                 self.counts[why] = self.counts.get(why, 0) + 1
                 continue
-            self.got(opened.kind, opened.sender, opened.life, address, opened.body)
+            self.got(opened.kind, opened.sender, opened.generation, address, opened.body)
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -47,8 +47,8 @@
     net, nodes, names = network(5)
     net.stop(nodes[1])
     net.run(SECOND // 2)
-    again = net.start("m1", life=2, seeds=("at-m0",))
-    net.run(60 * SECOND, lambda: all(node.members.others["m1"].life == 2 for node in nodes if node.name != "m1"))
+    again = net.start("m1", generation=2, seeds=("at-m0",))
+    net.run(60 * SECOND, lambda: all(node.members.others["m1"].generation == 2 for node in nodes if node.name != "m1"))
     assert net.agree(names)
     assert not again.taken
 
@@ -58,21 +58,21 @@
     for node in nodes:
         net.stop(node)
         net.run(SECOND // 100)
-        net.start(node.name, life=2, seeds=("at-m0", "at-m1", "at-m2"))
+        net.start(node.name, generation=2, seeds=("at-m0", "at-m1", "at-m2"))
     net.run(60 * SECOND, lambda: net.agree(names))
     net.run(20 * SECOND)
     assert net.agree(names)
-    assert all(member.life == 2 for node in net.nodes.values() for member in node.members.others.values())
+    assert all(member.generation == 2 for node in net.nodes.values() for member in node.members.others.values())
 
 
 def test_two_under_one_name_the_younger_stays_out():
     net, nodes, names = network(5)
-    impostor = net.start("m1", life=9, address="elsewhere", seeds=("at-m0",))
+    impostor = net.start("m1", generation=9, address="elsewhere", seeds=("at-m0",))
     net.run(20 * SECOND)
     assert set(impostor.taken) == {"at-m1"} and not nodes[1].taken
-    assert all(node.members.others["m1"].life == 1 for node in nodes if node.name != "m1")
+    assert all(node.members.others["m1"].generation == 1 for node in nodes if node.name != "m1")
     net.stop(nodes[1])  # once the elder is gone the younger may have the name
-    net.run(90 * SECOND, lambda: all(node.members.others["m1"].life == 9 for node in nodes if node.name != "m1"))
+    net.run(90 * SECOND, lambda: all(node.members.others["m1"].generation == 9 for node in nodes if node.name != "m1"))
     assert all(node.members.others["m1"].address == "elsewhere" for node in nodes if node.name != "m1")
 
 
@@ -159,7 +159,7 @@
     Update,
     name=st.sampled_from(["m0", "m1", "m2", "x"]),
     address=st.sampled_from(["at-m1", "at-x", ""]),
-    life=st.integers(0, 3),
+    generation=st.integers(0, 3),
     incarnation=st.integers(0, 5),
     state=st.integers(-1, 6),
     weight=st.integers(0, 3),
