--- a/gingergap/duties/manager.py
+++ b/gingergap/duties/manager.py
@@ -25,7 +25,7 @@
     once: bool = True
 
 
-class KeeperHost(Protocol):
+class DutyHost(Protocol):
     def ask(self, duty: str, token: Token, lasts: int, done_ago: int) -> None:
         """Ask all others for their votes; `done_ago` is how long ago the asker did it, -1 for never."""
 
@@ -39,7 +39,7 @@
         """The duty is no longer ours."""
 
 
-class Held:
+class DutyState:
     """What the keeper knows of one duty."""
 
     __slots__ = (
@@ -69,13 +69,13 @@
         self.stands_in_until = now  # for an owner that is there but does not do it
 
 
-class Keeper:
+class DutyManager:
     """`everybody` are the configured members' names, `lasts` the length of a lease, `error` the clocks' rate error,
     `settle` how long a nearer member has to be present before a duty is handed to it."""
 
     def __init__(
         self,
-        host: KeeperHost,
+        host: DutyHost,
         draw: Random,
         now: int,
         name: str,
@@ -92,7 +92,7 @@
         self.holder = f"{name}/{life:x}"
         self.lasts, self.error, self.settle, self.patience = lasts, error, settle, patience
         self.voter = Voter(now, lasts, error)
-        self.held = {duty.name: Held(duty, now) for duty in duties}
+        self.held = {duty.name: DutyState(duty, now) for duty in duties}
         self.present: dict[str, int] = {}
 
     # --- what can happen ---
@@ -182,7 +182,7 @@
         """To be asked before each effect."""
         return self.held[duty].claim.holds(now)
 
-    def token(self, held: Held) -> Token:
+    def token(self, held: DutyState) -> Token:
         return Token(held.claim.counter, self.holder)
 
     def token_of(self, duty: str) -> Token:
@@ -190,13 +190,13 @@
 
     # --- parts ---
 
-    def _needed(self, held: Held, present: dict[str, int]) -> int:
+    def _needed(self, held: DutyState, present: dict[str, int]) -> int:
         """Votes that make a lease: of all configured members for *once at most*, of those present for *at least once*."""
         if held.duty.once:
             return len(self.everybody) // 2 + 1
         return len(set(present) & self.everybody) // 2 + 1
 
-    def _look(self, now: int, held: Held, present: dict[str, int]) -> None:
+    def _look(self, now: int, held: DutyState, present: dict[str, int]) -> None:
         claim, duty = held.claim, held.duty
         order = held.order
         owner = order[0] if order else ""
@@ -230,14 +230,14 @@
             held.stands_in_until = now + 2 * duty.limit
             self._ask(now, held, claim.ask(now), present)
 
-    def _ask(self, now: int, held: Held, counter: int, present: dict[str, int]) -> None:
+    def _ask(self, now: int, held: DutyState, counter: int, present: dict[str, int]) -> None:
         token = Token(counter, self.holder)
         done_ago = now - held.done_at if held.done_at >= 0 else -1
         self.host.ask(held.duty.name, token, self.lasts, done_ago)
         granted, newest = self.asked(now, held.duty.name, token, self.lasts, -1)
         self.voted(now, self.name, held.duty.name, counter, granted, newest, present)
 
-    def _give_up(self, now: int, held: Held) -> None:
+    def _give_up(self, now: int, held: DutyState) -> None:
         if held.since >= 0:
             token = self.token(held)
             self.voter.released(held.duty.name, token)
@@ -245,7 +245,7 @@
             held.claim.not_before = now + self.patience
         self._lose(held)
 
-    def _lose(self, held: Held) -> None:
+    def _lose(self, held: DutyState) -> None:
         held.claim.drop()
         if held.since >= 0:
             held.since = -1
--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -16,7 +16,7 @@
 
 from ..duties import messages
 from ..duties.leases import Token
-from ..duties.manager import Duty, Keeper
+from ..duties.manager import Duty, DutyManager
 from ..membership import swim
 from ..membership.codec import DatagramCodec
 from ..membership.swim import Membership
@@ -111,7 +111,7 @@
         )
         duties = [Duty(f"probe {exchange}", probe_every, probe_limit, cost=0.5) for exchange in proxy.ids]
         duties.append(Duty("check list", 2 * probe_every, 2 * probe_limit, cost=0.2, worth=2.0, once=False))
-        self.keeper = Keeper(
+        self.keeper = DutyManager(
             self,
             Random(secrets.randbits(64)),
             now,
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from gingergap.duties.leases import Claim, Fence, Token, Voter
-from gingergap.duties.manager import Duty, Keeper
+from gingergap.duties.manager import Duty, DutyManager
 from gingergap.duties.placement import ranking
 
 SECOND = 10_000
@@ -30,7 +30,7 @@
         self.running = True
         self.inbox, self.began = [], {}
         self.acts = Counter()
-        self.keeper = Keeper(
+        self.keeper = DutyManager(
             self,
             Random(f"{name}{life}{world.seed}"),
             self.clock(),
