--- a/gingergap/duties/leases.py
+++ b/gingergap/duties/leases.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 
-class Token(NamedTuple):
+class FencingToken(NamedTuple):
     """Orders the holders of one duty: `counter` first. `holder` is a member's name and life."""
 
     counter: int
@@ -22,7 +22,7 @@
 class Grant:
     __slots__ = ("token", "until")
 
-    def __init__(self, token: Token, until: int) -> None:
+    def __init__(self, token: FencingToken, until: int) -> None:
         self.token, self.until = token, until
 
 
@@ -36,7 +36,7 @@
         self.grants: dict[str, Grant] = {}
         self.newest: dict[str, int] = {}
 
-    def asked(self, now: int, duty: str, token: Token, lasts: int) -> bool:
+    def asked(self, now: int, duty: str, token: FencingToken, lasts: int) -> bool:
         """Grant or extend a lease; `newest` tells the asker how high to go if not."""
         newest = self.newest.get(duty, 0)
         self.newest[duty] = max(newest, token.counter)
@@ -53,7 +53,7 @@
         self.grants[duty] = Grant(token, now + lasts)
         return True
 
-    def released(self, duty: str, token: Token) -> None:
+    def released(self, duty: str, token: FencingToken) -> None:
         """The holder gives a lease back before its time."""
         grant = self.grants.get(duty)
         if grant is not None and grant.token == token:
@@ -116,9 +116,9 @@
 
     def __init__(self, in_use: int) -> None:
         self.in_use = in_use
-        self.newest: dict[str, tuple[Token, int]] = {}
+        self.newest: dict[str, tuple[FencingToken, int]] = {}
 
-    def admit(self, now: int, duty: str, token: Token, once: bool) -> bool:
+    def admit(self, now: int, duty: str, token: FencingToken, once: bool) -> bool:
         held = self.newest.get(duty)
         if held is not None and token < held[0] and (once or now - held[1] < self.in_use):
             return False
--- a/gingergap/duties/manager.py
+++ b/gingergap/duties/manager.py
@@ -8,7 +8,7 @@
 from random import Random
 from typing import NamedTuple, Protocol
 
-from .leases import Claim, Token, Voter
+from .leases import Claim, FencingToken, Voter
 from .placement import ranking
 
 
@@ -26,13 +26,13 @@
 
 
 class DutyHost(Protocol):
-    def ask(self, duty: str, token: Token, lasts: int, done_ago: int) -> None:
+    def ask(self, duty: str, token: FencingToken, lasts: int, done_ago: int) -> None:
         """Ask all others for their votes; `done_ago` is how long ago the asker did it, -1 for never."""
 
-    def release(self, duty: str, token: Token) -> None:
+    def release(self, duty: str, token: FencingToken) -> None:
         """Tell all that a lease is given back."""
 
-    def begin(self, duty: Duty, token: Token, first_in: int) -> None:
+    def begin(self, duty: Duty, token: FencingToken, first_in: int) -> None:
         """The duty is ours: do it in `first_in`, then each period, until `end`."""
 
     def end(self, duty: Duty) -> None:
@@ -120,7 +120,7 @@
             heard[duty] = max(counter, heard.get(duty, 0))
         return heard
 
-    def asked(self, now: int, duty: str, token: Token, lasts: int, done_ago: int) -> tuple[bool, int]:
+    def asked(self, now: int, duty: str, token: FencingToken, lasts: int, done_ago: int) -> tuple[bool, int]:
         """Another asks for our vote: whether it has it, and the highest counter heard of."""
         held = self.held.get(duty)
         if held is not None:
@@ -142,7 +142,7 @@
             first_in = max(0, held.heard_done_at + held.duty.period - now)
             self.host.begin(held.duty, self.token(held), first_in)
 
-    def released(self, now: int, duty: str, token: Token) -> None:
+    def released(self, now: int, duty: str, token: FencingToken) -> None:
         self.voter.released(duty, token)
         held = self.held.get(duty)
         if held is not None:
@@ -162,7 +162,7 @@
             held.aside_until = now + 2 * held.duty.limit
             self._give_up(now, held)
 
-    def refused(self, now: int, duty: str, newest: Token) -> None:
+    def refused(self, now: int, duty: str, newest: FencingToken) -> None:
         """What the duty touches has seen a newer token: the lease is another's, whatever we believed."""
         held = self.held[duty]
         held.claim.heard = max(held.claim.heard, newest.counter)
@@ -182,10 +182,10 @@
         """To be asked before each effect."""
         return self.held[duty].claim.holds(now)
 
-    def token(self, held: DutyState) -> Token:
-        return Token(held.claim.counter, self.holder)
+    def token(self, held: DutyState) -> FencingToken:
+        return FencingToken(held.claim.counter, self.holder)
 
-    def token_of(self, duty: str) -> Token:
+    def token_of(self, duty: str) -> FencingToken:
         return self.token(self.held[duty])
 
     # --- parts ---
@@ -231,7 +231,7 @@
             self._ask(now, held, claim.ask(now), present)
 
     def _ask(self, now: int, held: DutyState, counter: int, present: dict[str, int]) -> None:
-        token = Token(counter, self.holder)
+        token = FencingToken(counter, self.holder)
         done_ago = now - held.done_at if held.done_at >= 0 else -1
         self.host.ask(held.duty.name, token, self.lasts, done_ago)
         granted, newest = self.asked(now, held.duty.name, token, self.lasts, -1)
--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -15,7 +15,7 @@
 from gevent.event import AsyncResult
 
 from ..duties import messages
-from ..duties.leases import Token
+from ..duties.leases import FencingToken
 from ..duties.manager import Duty, DutyManager
 from ..membership import swim
 from ..membership.codec import DatagramCodec
@@ -170,12 +170,12 @@
     def _heard(self, now: int, sender: str, address: str, message: Any) -> None:
         match message:
             case messages.Ask(duty, counter, holder, lasts, done_ago):
-                granted, newest = self.keeper.asked(now, duty, Token(counter, holder), lasts, done_ago)
+                granted, newest = self.keeper.asked(now, duty, FencingToken(counter, holder), lasts, done_ago)
                 self._tell(sender, address, messages.Vote(duty, counter, granted, newest))
             case messages.Vote(duty, counter, granted, newest):
                 self.keeper.voted(now, sender, duty, counter, granted, newest, self.members.active_members())
             case messages.Release(duty, counter, holder):
-                self.keeper.released(now, duty, Token(counter, holder))
+                self.keeper.released(now, duty, FencingToken(counter, holder))
             case messages.Learned(duty, _, _, what, value, age):
                 self._learn(now - max(0, age), duty, what, value, sender)
 
@@ -204,13 +204,13 @@
 
     # --- host of the Keeper ---
 
-    def ask(self, duty: str, token: Token, lasts: int, done_ago: int) -> None:
+    def ask(self, duty: str, token: FencingToken, lasts: int, done_ago: int) -> None:
         self._tell_all(messages.Ask(duty, token.counter, token.holder, lasts, done_ago))
 
-    def release(self, duty: str, token: Token) -> None:
+    def release(self, duty: str, token: FencingToken) -> None:
         self._tell_all(messages.Release(duty, token.counter, token.holder))
 
-    def begin(self, duty: Duty, token: Token, first_in: int) -> None:
+    def begin(self, duty: Duty, token: FencingToken, first_in: int) -> None:
         self.log.info("duty-ours", duty=duty.name, counter=token.counter)
         self.work.runner.add(
             duty.name,
@@ -268,7 +268,7 @@
                 token.counter + 1,
             )
             self.refused.add(duty.name)
-            self.keeper.refused(self.clock(), duty.name, Token(counter, ""))
+            self.keeper.refused(self.clock(), duty.name, FencingToken(counter, ""))
             return False
         took = -1.0 if message is None else (self.clock() - began) / 10
         self._share(duty, token, f"answer ms of {exchange}", took)
@@ -281,7 +281,7 @@
             self._share(duty, self.keeper.token_of(duty.name), f"list {watching.epoch}", float(watching.version))
         return True
 
-    def _share(self, duty: Duty, token: Token, what: str, value: float) -> None:
+    def _share(self, duty: Duty, token: FencingToken, what: str, value: float) -> None:
         now = self.clock()
         self._learn(now, duty.name, what, value, self.name)
         self._tell_all(messages.Learned(duty.name, token.counter, token.holder, what, value, self.clock() - now))
--- a/gingergap/standins/exchange.py
+++ b/gingergap/standins/exchange.py
@@ -16,7 +16,7 @@
 import gevent
 from gevent.event import Event
 
-from ..duties.leases import Fence, Token
+from ..duties.leases import Fence, FencingToken
 from ..sip.dialogs import SipDialog, next_hop
 from ..sip.fields import address_of, params_of, q850, tag_of, top_via, uri_of
 from ..sip.message import BadMessageError, Message, response
@@ -453,7 +453,7 @@
         duty, _, rest = message.get("Gingergap-Duty").partition(";")
         params = params_of(rest)
         if duty and params.get("counter", "").isdigit():
-            token = Token(int(params["counter"]), params.get("holder", ""))
+            token = FencingToken(int(params["counter"]), params.get("holder", ""))
             admitted = self.fence.admit(units(), duty, token, True)
             self.capture.note("probed", exchange=self.life.id, counter=token.counter, holder=token.holder, admitted=admitted)
             if not admitted:
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gingergap.duties.leases import Claim, Fence, Token, Voter
+from gingergap.duties.leases import Claim, Fence, FencingToken, Voter
 from gingergap.duties.manager import Duty, DutyManager
 from gingergap.duties.placement import ranking
 
@@ -394,7 +394,7 @@
 
 def test_a_fence_for_at_least_once_lets_the_older_in_when_the_newer_is_silent():
     fence = Fence(100)
-    old, new = Token(1, "a"), Token(2, "b")
+    old, new = FencingToken(1, "a"), FencingToken(2, "b")
     assert fence.admit(0, "d", new, False) and not fence.admit(50, "d", old, False)
     assert fence.admit(150, "d", old, False)
     strict = Fence(100)
@@ -403,10 +403,10 @@
 
 def test_a_voter_grants_to_one_at_a_time():
     voter = Voter(0, 100, 0.0)
-    assert not voter.asked(50, "d", Token(1, "a"), 100)  # it has just started
-    assert voter.asked(200, "d", Token(2, "a"), 100) and voter.asked(250, "d", Token(2, "a"), 100)
-    assert not voter.asked(260, "d", Token(3, "b"), 100)
-    assert not voter.asked(360, "d", Token(3, "b"), 100)  # a counter is used once
-    assert voter.asked(360, "d", Token(4, "b"), 100)
-    voter.released("d", Token(4, "b"))
-    assert voter.asked(361, "d", Token(5, "a"), 100) and not voter.asked(361, "d", Token(9, "c"), 101)
+    assert not voter.asked(50, "d", FencingToken(1, "a"), 100)  # it has just started
+    assert voter.asked(200, "d", FencingToken(2, "a"), 100) and voter.asked(250, "d", FencingToken(2, "a"), 100)
+    assert not voter.asked(260, "d", FencingToken(3, "b"), 100)
+    assert not voter.asked(360, "d", FencingToken(3, "b"), 100)  # a counter is used once
+    assert voter.asked(360, "d", FencingToken(4, "b"), 100)
+    voter.released("d", FencingToken(4, "b"))
+    assert voter.asked(361, "d", FencingToken(5, "a"), 100) and not voter.asked(361, "d", FencingToken(9, "c"), 101)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -553,15 +553,15 @@
 def test_counters_heard_of_before_a_restart_are_neither_asked_for_nor_granted_again(tmp_path):
     from random import Random
 
-    from gingergap.duties.leases import Token
+    from gingergap.duties.leases import FencingToken
     from gingergap.duties.manager import Duty, DutyManager
 
     keeper = DutyManager(NotedHost(), Random(1), 0, "p0", 1, frozenset({"p1"}), [Duty("probe x1", 100, 1_000)])
     keeper.recall("probe x1", 17)
     assert keeper.counters() == {"probe x1": 17} and keeper.held["probe x1"].claim.ask(0) == 18
-    granted, newest = keeper.asked(10**6, "probe x1", Token(12, "p1/1"), 100, -1)
+    granted, newest = keeper.asked(10**6, "probe x1", FencingToken(12, "p1/1"), 100, -1)
     assert not granted and newest == 17
-    granted, _ = keeper.asked(10**6, "probe x1", Token(19, "p1/1"), 100, -1)
+    granted, _ = keeper.asked(10**6, "probe x1", FencingToken(19, "p1/1"), 100, -1)
     assert granted
     memory = Memory(3_600, 100, [1.0])
     for duty, counter in keeper.counters().items():
