--- a/gingergap/duties/leases.py
+++ b/gingergap/duties/leases.py
@@ -109,7 +109,7 @@
         self.votes.clear()
 
 
-class Fence:
+class TokenFence:
     """Stands before what a duty touches. For duties done *once at most* a token never goes back. For those done *at
     least once* each part of a split goes on with counters of its own: an older token is refused only while the newest
     is in use, so that two who both reach the place don't do it twice, and one that alone reaches it isn't shut out."""
--- a/gingergap/standins/exchange.py
+++ b/gingergap/standins/exchange.py
@@ -16,7 +16,7 @@
 import gevent
 from gevent.event import Event
 
-from ..duties.leases import Fence, FencingToken
+from ..duties.leases import FencingToken, TokenFence
 from ..sip.dialogs import SipDialog, next_hop
 from ..sip.fields import address_of, params_of, q850, tag_of, top_via, uri_of
 from ..sip.message import BadMessageError, Message, response
@@ -84,7 +84,7 @@
         self.held: dict[tuple[str, str], Held] = {}
         self.forwarded: dict[str, bool] = {}  # branches of dialogs in transit: whether the INVITE has gone on
         self.running = True
-        self.fence = Fence(0)
+        self.fence = TokenFence(0)
         self.fallen = False
         self.arrivals: deque[float] = deque()
         self.reset_at = 0.0
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -9,7 +9,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gingergap.duties.leases import Claim, Fence, FencingToken, Voter
+from gingergap.duties.leases import Claim, FencingToken, TokenFence, Voter
 from gingergap.duties.manager import Duty, DutyManager
 from gingergap.duties.placement import ranking
 
@@ -90,7 +90,7 @@
         self.duties = {duty.name: duty for duty in duties}
         self.lag = self.draw.choice([0, SECOND // 2, 3 * SECOND])  # of what membership says
         self.cut = lambda source, target: False
-        self.fence = fence or Fence(3 * SECOND)
+        self.fence = fence or TokenFence(3 * SECOND)
         self.accepted = {duty.name: [] for duty in duties}  # (true time, instance, token)
         self.refused = 0
         self.instances = {}
@@ -333,14 +333,14 @@
     world.run(20 * SECOND)
     few = {"m0", "m1"}
     world.cut = lambda source, target: (source in few) != (target in few)
-    world.fence = Fence(0)  # each side reaches a place of its own
+    world.fence = TokenFence(0)  # each side reaches a place of its own
     began = world.now
     world.run(60 * SECOND)
     late = {name: {who for when, who, _ in world.accepted[name] if when > began + 20 * SECOND} for name in world.accepted}
     assert late["probe"] and not late["probe"] & few
     assert late["sweep"] & few and late["sweep"] - few
     world.cut = lambda source, target: False
-    world.fence = Fence(3 * SECOND)
+    world.fence = TokenFence(3 * SECOND)
     healed = world.now
     world.run(60 * SECOND)
     late = {name: {who for when, who, _ in world.accepted[name] if when > healed + 20 * SECOND} for name in world.accepted}
@@ -393,11 +393,11 @@
 
 
 def test_a_fence_for_at_least_once_lets_the_older_in_when_the_newer_is_silent():
-    fence = Fence(100)
+    fence = TokenFence(100)
     old, new = FencingToken(1, "a"), FencingToken(2, "b")
     assert fence.admit(0, "d", new, False) and not fence.admit(50, "d", old, False)
     assert fence.admit(150, "d", old, False)
-    strict = Fence(100)
+    strict = TokenFence(100)
     assert strict.admit(0, "d", new, True) and not strict.admit(10_000, "d", old, True)
 
 
