--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -6,7 +6,7 @@
 import argparse
 import statistics
 
-from gingergap.duties.placement import ranking
+from gingergap.duties.placement import rank_members
 from gingergap.membership.simulated import Network
 from gingergap.membership.swim import SECOND
 
@@ -47,7 +47,7 @@
     """Part of the duties that change hands when a member joins, against the ideal 1 / (count + 1)."""
     before = dict.fromkeys((f"m{number}" for number in range(count)), 1)
     after = {**before, f"m{count}": 1}
-    owners = [(ranking(before, f"d{duty}")[0], ranking(after, f"d{duty}")[0]) for duty in range(duties)]
+    owners = [(rank_members(before, f"d{duty}")[0], rank_members(after, f"d{duty}")[0]) for duty in range(duties)]
     return statistics.mean(a != b for a, b in owners) * (count + 1)
 
 
--- a/gingergap/duties/manager.py
+++ b/gingergap/duties/manager.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple, Protocol
 
 from .leases import Claim, FencingToken, Voter
-from .placement import ranking
+from .placement import rank_members
 
 
 class Duty(NamedTuple):
@@ -103,7 +103,7 @@
             self.present = dict(present)
             able = {name: weight for name, weight in present.items() if name in self.everybody}
             for held in self.held.values():
-                held.order = ranking(able, held.duty.name)
+                held.order = rank_members(able, held.duty.name)
         for held in self.held.values():
             self._look(now, held, present)
 
--- a/gingergap/duties/placement.py
+++ b/gingergap/duties/placement.py
@@ -13,6 +13,6 @@
     return -weight / math.log(unit)
 
 
-def ranking(members: dict[str, int], duty: str) -> list[str]:
+def rank_members(members: dict[str, int], duty: str) -> list[str]:
     """Members by how near the duty is to them, the owner first."""
     return sorted(members, key=lambda name: (-score(name, members[name], duty), name))
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -11,7 +11,7 @@
 
 from gingergap.duties.leases import Claim, FencingToken, TokenFence, Voter
 from gingergap.duties.manager import Duty, DutyManager
-from gingergap.duties.placement import ranking
+from gingergap.duties.placement import rank_members
 
 SECOND = 10_000
 ONCE = Duty("probe", 2 * SECOND, 12 * SECOND, once=True)
@@ -382,13 +382,13 @@
     members = dict.fromkeys(sorted(names), 1)
     gone = sorted(names)[number % len(names)]
     for duty in (f"duty{place}" for place in range(30)):
-        before = ranking(members, duty)
-        after = ranking({name: weight for name, weight in members.items() if name != gone}, duty)
+        before = rank_members(members, duty)
+        after = rank_members({name: weight for name, weight in members.items() if name != gone}, duty)
         assert after == [name for name in before if name != gone]
 
 
 def test_weights_are_shares():
-    owners = Counter(ranking({"a": 1, "b": 1, "c": 2}, f"d{place}")[0] for place in range(4000))
+    owners = Counter(rank_members({"a": 1, "b": 1, "c": 2}, f"d{place}")[0] for place in range(4000))
     assert 0.45 < owners["c"] / 4000 < 0.55 and 0.2 < owners["a"] / 4000 < 0.3
 
 
