--- a/gingergap/duties/messages.py
+++ b/gingergap/duties/messages.py
@@ -3,7 +3,7 @@
 import msgspec
 
 
-class Ask(msgspec.Struct, array_like=True, tag="ask"):
+class VoteRequest(msgspec.Struct, array_like=True, tag="ask"):
     duty: str
     counter: int
     holder: str
@@ -18,13 +18,13 @@
     newest: int
 
 
-class Release(msgspec.Struct, array_like=True, tag="rel"):
+class LeaseRelease(msgspec.Struct, array_like=True, tag="rel"):
     duty: str
     counter: int
     holder: str
 
 
-class Learned(msgspec.Struct, array_like=True, tag="learned"):
+class DutyResult(msgspec.Struct, array_like=True, tag="learned"):
     """What a duty brought: `what` it is about, a value (ms or a version; -1: no answer), and how long ago (tenths of
     a millisecond) it was learned. Shared so that the price is paid once."""
 
@@ -36,5 +36,5 @@
     age: int
 
 
-DECODER = msgspec.msgpack.Decoder(Ask | Vote | Release | Learned)
+DECODER = msgspec.msgpack.Decoder(VoteRequest | Vote | LeaseRelease | DutyResult)
 ENCODER = msgspec.msgpack.Encoder()
--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -169,14 +169,14 @@
 
     def _heard(self, now: int, sender: str, address: str, message: Any) -> None:
         match message:
-            case messages.Ask(duty, counter, holder, lasts, done_ago):
+            case messages.VoteRequest(duty, counter, holder, lasts, done_ago):
                 granted, newest = self.keeper.asked(now, duty, FencingToken(counter, holder), lasts, done_ago)
                 self._tell(sender, address, messages.Vote(duty, counter, granted, newest))
             case messages.Vote(duty, counter, granted, newest):
                 self.keeper.voted(now, sender, duty, counter, granted, newest, self.members.active_members())
-            case messages.Release(duty, counter, holder):
+            case messages.LeaseRelease(duty, counter, holder):
                 self.keeper.released(now, duty, FencingToken(counter, holder))
-            case messages.Learned(duty, _, _, what, value, age):
+            case messages.DutyResult(duty, _, _, what, value, age):
                 self._learn(now - max(0, age), duty, what, value, sender)
 
     def _tell(self, name: str, address: str, message: Any) -> None:
@@ -205,10 +205,10 @@
     # --- host of the Keeper ---
 
     def ask(self, duty: str, token: FencingToken, lasts: int, done_ago: int) -> None:
-        self._tell_all(messages.Ask(duty, token.counter, token.holder, lasts, done_ago))
+        self._tell_all(messages.VoteRequest(duty, token.counter, token.holder, lasts, done_ago))
 
     def release(self, duty: str, token: FencingToken) -> None:
-        self._tell_all(messages.Release(duty, token.counter, token.holder))
+        self._tell_all(messages.LeaseRelease(duty, token.counter, token.holder))
 
     def begin(self, duty: Duty, token: FencingToken, first_in: int) -> None:
         self.log.info("duty-ours", duty=duty.name, counter=token.counter)
@@ -284,7 +284,7 @@
     def _share(self, duty: Duty, token: FencingToken, what: str, value: float) -> None:
         now = self.clock()
         self._learn(now, duty.name, what, value, self.name)
-        self._tell_all(messages.Learned(duty.name, token.counter, token.holder, what, value, self.clock() - now))
+        self._tell_all(messages.DutyResult(duty.name, token.counter, token.holder, what, value, self.clock() - now))
 
     def _learn(self, at: int, duty: str, what: str, value: float, who: str) -> None:
         held = self.learned.get(what)
