--- a/gingergap/duties/manager.py
+++ b/gingergap/duties/manager.py
@@ -21,7 +21,7 @@
     period: int
     limit: int
     cost: float = 1.0
-    worth: float = 1.0
+    priority: float = 1.0
     once: bool = True
 
 
--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -110,7 +110,7 @@
             sync_interval=10 * period,
         )
         duties = [Duty(f"probe {exchange}", probe_every, probe_limit, cost=0.5) for exchange in proxy.ids]
-        duties.append(Duty("check list", 2 * probe_every, 2 * probe_limit, cost=0.2, worth=2.0, once=False))
+        duties.append(Duty("check list", 2 * probe_every, 2 * probe_limit, cost=0.2, priority=2.0, once=False))
         self.keeper = DutyManager(
             self,
             Random(secrets.randbits(64)),
@@ -219,7 +219,7 @@
             period=duty.period,
             limit=duty.limit,
             cost=duty.cost,
-            worth=duty.worth,
+            worth=duty.priority,
             first_in=first_in,
             deadline=duty.limit // 2,
         )
