--- a/gingergap/duties/leases.py
+++ b/gingergap/duties/leases.py
@@ -118,9 +118,9 @@
         self.in_use = in_use
         self.newest: dict[str, tuple[FencingToken, int]] = {}
 
-    def admit(self, now: int, duty: str, token: FencingToken, once: bool) -> bool:
+    def admit(self, now: int, duty: str, token: FencingToken, exclusive: bool) -> bool:
         held = self.newest.get(duty)
-        if held is not None and token < held[0] and (once or now - held[1] < self.in_use):
+        if held is not None and token < held[0] and (exclusive or now - held[1] < self.in_use):
             return False
         self.newest[duty] = token, now
         return True
--- a/gingergap/duties/manager.py
+++ b/gingergap/duties/manager.py
@@ -22,7 +22,7 @@
     limit: int
     cost: float = 1.0
     priority: float = 1.0
-    once: bool = True
+    exclusive: bool = True
 
 
 class DutyHost(Protocol):
@@ -167,7 +167,7 @@
         held = self.held[duty]
         held.claim.heard = max(held.claim.heard, newest.counter)
         held.heard_done_at = now
-        held.claim.not_before = now + held.duty.limit if not held.duty.once else now + self.patience
+        held.claim.not_before = now + held.duty.limit if not held.duty.exclusive else now + self.patience
         self._lose(held)
 
     def leave(self, now: int) -> None:
@@ -192,7 +192,7 @@
 
     def _needed(self, held: DutyState, present: dict[str, int]) -> int:
         """Votes that make a lease: of all configured members for *once at most*, of those present for *at least once*."""
-        if held.duty.once:
+        if held.duty.exclusive:
             return len(self.everybody) // 2 + 1
         return len(set(present) & self.everybody) // 2 + 1
 
--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -110,7 +110,7 @@
             sync_interval=10 * period,
         )
         duties = [Duty(f"probe {exchange}", probe_every, probe_limit, cost=0.5) for exchange in proxy.ids]
-        duties.append(Duty("check list", 2 * probe_every, 2 * probe_limit, cost=0.2, priority=2.0, once=False))
+        duties.append(Duty("check list", 2 * probe_every, 2 * probe_limit, cost=0.2, priority=2.0, exclusive=False))
         self.keeper = DutyManager(
             self,
             Random(secrets.randbits(64)),
@@ -333,7 +333,7 @@
                     "nearest": held.owner,
                     "holder": self.name if held.since >= 0 else holder,
                     "counter": held.claim.counter if held.since >= 0 else grant.token.counter if grant else 0,
-                    "mode": "once at most" if held.duty.once else "at least once",
+                    "mode": "once at most" if held.duty.exclusive else "at least once",
                     "done_ago_s": round(ago, 1),
                     "overdue": ago * SECOND > held.duty.limit,
                     "runs_here": self.runs.get(name, 0),
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -14,8 +14,8 @@
 from gingergap.duties.placement import rank_members
 
 SECOND = 10_000
-ONCE = Duty("probe", 2 * SECOND, 12 * SECOND, once=True)
-LEAST = Duty("sweep", 2 * SECOND, 12 * SECOND, once=False)
+ONCE = Duty("probe", 2 * SECOND, 12 * SECOND, exclusive=True)
+LEAST = Duty("sweep", 2 * SECOND, 12 * SECOND, exclusive=False)
 LASTS, ERROR = 30_000, 0.02
 
 
@@ -159,7 +159,7 @@
             self.at(one.paused_until + 1, lambda: self.effect(one, name, token))
             return
         now = one.clock()
-        if self.fence.admit(self.now, name, token, self.duties[name].once):
+        if self.fence.admit(self.now, name, token, self.duties[name].exclusive):
             self.accepted[name].append((self.now, one.name, token))
             one.acts[name] += 1
             one.keeper.done(now, name)
@@ -178,7 +178,7 @@
     def judge(self):
         """Never two who by their own clocks may act on a duty that is done once at most."""
         for name, duty in self.duties.items():
-            if duty.once:
+            if duty.exclusive:
                 holders = [one.name for one in self.instances.values() if one.keeper.may_act(one.clock(), name)]
                 assert len(holders) <= 1, (self.now, holders)
 
