--- a/gingergap/duties/manager.py
+++ b/gingergap/duties/manager.py
@@ -97,7 +97,7 @@
 
     # --- what can happen ---
 
-    def due(self, now: int, present: dict[str, int]) -> None:
+    def tick(self, now: int, present: dict[str, int]) -> None:
         """Time has passed. `present` are the members there, oneself included unless it leaves."""
         if present != self.present:  # ranking all anew at each look cost a fifth of the time with sixty of each
             self.present = dict(present)
--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -153,7 +153,7 @@
             self.members.tick(now)
             steps += 1
             if steps % 4 == 0:
-                self.keeper.due(now, self.members.active_members())
+                self.keeper.tick(now, self.members.active_members())
 
     # --- datagrams ---
 
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -70,7 +70,7 @@
 
     def step(self):
         now = self.clock()
-        self.keeper.due(now, self.world.present(self))
+        self.keeper.tick(now, self.world.present(self))
         for name, when in list(self.began.items()):
             if now >= when and self.keeper.may_act(now, name):
                 self.began[name] = now + self.keeper.held[name].duty.period
