--- a/gingergap/duties/leases.py
+++ b/gingergap/duties/leases.py
@@ -36,7 +36,7 @@
         self.grants: dict[str, Grant] = {}
         self.newest: dict[str, int] = {}
 
-    def asked(self, now: int, duty: str, token: FencingToken, lasts: int) -> bool:
+    def handle_vote_request(self, now: int, duty: str, token: FencingToken, lasts: int) -> bool:
         """Grant or extend a lease; `newest` tells the asker how high to go if not."""
         newest = self.newest.get(duty, 0)
         self.newest[duty] = max(newest, token.counter)
--- a/gingergap/duties/manager.py
+++ b/gingergap/duties/manager.py
@@ -120,14 +120,14 @@
             heard[duty] = max(counter, heard.get(duty, 0))
         return heard
 
-    def asked(self, now: int, duty: str, token: FencingToken, lasts: int, done_ago: int) -> tuple[bool, int]:
+    def handle_vote_request(self, now: int, duty: str, token: FencingToken, lasts: int, done_ago: int) -> tuple[bool, int]:
         """Another asks for our vote: whether it has it, and the highest counter heard of."""
         held = self.held.get(duty)
         if held is not None:
             held.claim.heard = max(held.claim.heard, token.counter)
             if done_ago >= 0:
                 held.heard_done_at = max(held.heard_done_at, now - done_ago)
-        granted = self.voter.asked(now, duty, token, lasts)
+        granted = self.voter.handle_vote_request(now, duty, token, lasts)
         return granted, self.voter.newest.get(duty, 0)
 
     def voted(self, now: int, voter: str, duty: str, counter: int, granted: bool, newest: int, present: dict[str, int]) -> None:
@@ -234,7 +234,7 @@
         token = FencingToken(counter, self.holder)
         done_ago = now - held.done_at if held.done_at >= 0 else -1
         self.host.ask(held.duty.name, token, self.lasts, done_ago)
-        granted, newest = self.asked(now, held.duty.name, token, self.lasts, -1)
+        granted, newest = self.handle_vote_request(now, held.duty.name, token, self.lasts, -1)
         self.voted(now, self.name, held.duty.name, counter, granted, newest, present)
 
     def _give_up(self, now: int, held: DutyState) -> None:
--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -170,7 +170,7 @@
     def _heard(self, now: int, sender: str, address: str, message: Any) -> None:
         match message:
             case messages.VoteRequest(duty, counter, holder, lasts, done_ago):
-                granted, newest = self.keeper.asked(now, duty, FencingToken(counter, holder), lasts, done_ago)
+                granted, newest = self.keeper.handle_vote_request(now, duty, FencingToken(counter, holder), lasts, done_ago)
                 self._tell(sender, address, messages.Vote(duty, counter, granted, newest))
             case messages.Vote(duty, counter, granted, newest):
                 self.keeper.voted(now, sender, duty, counter, granted, newest, self.members.active_members())
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -51,7 +51,7 @@
                 self.world.send(self.name, other, lambda one: one.vote(self.name, duty, token, lasts, done_ago))
 
     def vote(self, asker, duty, token, lasts, done_ago):
-        granted, newest = self.keeper.asked(self.clock(), duty, token, lasts, done_ago)
+        granted, newest = self.keeper.handle_vote_request(self.clock(), duty, token, lasts, done_ago)
         me = self.name
         self.world.send(
             me, asker, lambda one: one.keeper.voted(one.clock(), me, duty, token.counter, granted, newest, one.world.present(one))
@@ -403,10 +403,14 @@
 
 def test_a_voter_grants_to_one_at_a_time():
     voter = Voter(0, 100, 0.0)
-    assert not voter.asked(50, "d", FencingToken(1, "a"), 100)  # it has just started
-    assert voter.asked(200, "d", FencingToken(2, "a"), 100) and voter.asked(250, "d", FencingToken(2, "a"), 100)
-    assert not voter.asked(260, "d", FencingToken(3, "b"), 100)
-    assert not voter.asked(360, "d", FencingToken(3, "b"), 100)  # a counter is used once
-    assert voter.asked(360, "d", FencingToken(4, "b"), 100)
+    assert not voter.handle_vote_request(50, "d", FencingToken(1, "a"), 100)  # it has just started
+    assert voter.handle_vote_request(200, "d", FencingToken(2, "a"), 100) and voter.handle_vote_request(
+        250, "d", FencingToken(2, "a"), 100
+    )
+    assert not voter.handle_vote_request(260, "d", FencingToken(3, "b"), 100)
+    assert not voter.handle_vote_request(360, "d", FencingToken(3, "b"), 100)  # a counter is used once
+    assert voter.handle_vote_request(360, "d", FencingToken(4, "b"), 100)
     voter.released("d", FencingToken(4, "b"))
-    assert voter.asked(361, "d", FencingToken(5, "a"), 100) and not voter.asked(361, "d", FencingToken(9, "c"), 101)
+    assert voter.handle_vote_request(361, "d", FencingToken(5, "a"), 100) and not voter.handle_vote_request(
+        361, "d", FencingToken(9, "c"), 101
+    )
