--- a/gingergap/duties/leases.py
+++ b/gingergap/duties/leases.py
@@ -88,7 +88,9 @@
         self.votes.clear()
         return self.counter
 
-    def voted(self, now: int, voter: str, counter: int, granted: bool, newest: int, needed: int, lasts: int, error: float) -> bool:
+    def handle_vote(
+        self, now: int, voter: str, counter: int, granted: bool, newest: int, needed: int, lasts: int, error: float
+    ) -> bool:
         """A vote came; whether it makes the lease ours or longer. It counts from when the round began, since that is
         before any voter's clock began."""
         self.heard = max(self.heard, newest)
--- a/gingergap/duties/manager.py
+++ b/gingergap/duties/manager.py
@@ -130,12 +130,14 @@
         granted = self.voter.handle_vote_request(now, duty, token, lasts)
         return granted, self.voter.newest.get(duty, 0)
 
-    def voted(self, now: int, voter: str, duty: str, counter: int, granted: bool, newest: int, present: dict[str, int]) -> None:
+    def handle_vote(
+        self, now: int, voter: str, duty: str, counter: int, granted: bool, newest: int, present: dict[str, int]
+    ) -> None:
         held = self.held.get(duty)
         if held is None or voter not in self.everybody:
             return
         if (
-            held.claim.voted(now, voter, counter, granted, newest, self._needed(held, present), self.lasts, self.error)
+            held.claim.handle_vote(now, voter, counter, granted, newest, self._needed(held, present), self.lasts, self.error)
             and held.since < 0
         ):
             held.since = now
@@ -235,7 +237,7 @@
         done_ago = now - held.done_at if held.done_at >= 0 else -1
         self.host.ask(held.duty.name, token, self.lasts, done_ago)
         granted, newest = self.handle_vote_request(now, held.duty.name, token, self.lasts, -1)
-        self.voted(now, self.name, held.duty.name, counter, granted, newest, present)
+        self.handle_vote(now, self.name, held.duty.name, counter, granted, newest, present)
 
     def _give_up(self, now: int, held: DutyState) -> None:
         if held.since >= 0:
--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -173,7 +173,7 @@
                 granted, newest = self.keeper.handle_vote_request(now, duty, FencingToken(counter, holder), lasts, done_ago)
                 self._tell(sender, address, messages.Vote(duty, counter, granted, newest))
             case messages.Vote(duty, counter, granted, newest):
-                self.keeper.voted(now, sender, duty, counter, granted, newest, self.members.active_members())
+                self.keeper.handle_vote(now, sender, duty, counter, granted, newest, self.members.active_members())
             case messages.LeaseRelease(duty, counter, holder):
                 self.keeper.released(now, duty, FencingToken(counter, holder))
             case messages.DutyResult(duty, _, _, what, value, age):
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -54,7 +54,9 @@
         granted, newest = self.keeper.handle_vote_request(self.clock(), duty, token, lasts, done_ago)
         me = self.name
         self.world.send(
-            me, asker, lambda one: one.keeper.voted(one.clock(), me, duty, token.counter, granted, newest, one.world.present(one))
+            me,
+            asker,
+            lambda one: one.keeper.handle_vote(one.clock(), me, duty, token.counter, granted, newest, one.world.present(one)),
         )
 
     def release(self, duty, token):
