--- a/gingergap/duties/leases.py
+++ b/gingergap/duties/leases.py
@@ -53,7 +53,7 @@
         self.grants[duty] = Grant(token, now + lasts)
         return True
 
-    def released(self, duty: str, token: FencingToken) -> None:
+    def handle_release(self, duty: str, token: FencingToken) -> None:
         """The holder gives a lease back before its time."""
         grant = self.grants.get(duty)
         if grant is not None and grant.token == token:
--- a/gingergap/duties/manager.py
+++ b/gingergap/duties/manager.py
@@ -144,8 +144,8 @@
             first_in = max(0, held.heard_done_at + held.duty.period - now)
             self.host.begin(held.duty, self.token(held), first_in)
 
-    def released(self, now: int, duty: str, token: FencingToken) -> None:
-        self.voter.released(duty, token)
+    def handle_release(self, now: int, duty: str, token: FencingToken) -> None:
+        self.voter.handle_release(duty, token)
         held = self.held.get(duty)
         if held is not None:
             held.claim.not_before = min(held.claim.not_before, now)
@@ -213,7 +213,7 @@
             claim.asked_at = -1
             claim.not_before = now + self.draw.randrange(self.patience // 2, (2 + 2 * rank) * self.patience)
             if held.since < 0:
-                self.voter.released(duty.name, self.token(held))
+                self.voter.handle_release(duty.name, self.token(held))
                 self.host.release(duty.name, self.token(held))
         if held.since >= 0:
             if owner not in ("", self.name) and now - held.owner_since > self.settle and now >= held.stands_in_until:
@@ -242,7 +242,7 @@
     def _give_up(self, now: int, held: DutyState) -> None:
         if held.since >= 0:
             token = self.token(held)
-            self.voter.released(held.duty.name, token)
+            self.voter.handle_release(held.duty.name, token)
             self.host.release(held.duty.name, token)
             held.claim.not_before = now + self.patience
         self._lose(held)
--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -175,7 +175,7 @@
             case messages.Vote(duty, counter, granted, newest):
                 self.keeper.handle_vote(now, sender, duty, counter, granted, newest, self.members.active_members())
             case messages.LeaseRelease(duty, counter, holder):
-                self.keeper.released(now, duty, FencingToken(counter, holder))
+                self.keeper.handle_release(now, duty, FencingToken(counter, holder))
             case messages.DutyResult(duty, _, _, what, value, age):
                 self._learn(now - max(0, age), duty, what, value, sender)
 
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -62,7 +62,7 @@
     def release(self, duty, token):
         for other in self.world.names:
             if other != self.name:
-                self.world.send(self.name, other, lambda one: one.keeper.released(one.clock(), duty, token))
+                self.world.send(self.name, other, lambda one: one.keeper.handle_release(one.clock(), duty, token))
 
     def begin(self, duty, token, first_in):
         self.began[duty.name] = self.clock() + first_in
@@ -412,7 +412,7 @@
     assert not voter.handle_vote_request(260, "d", FencingToken(3, "b"), 100)
     assert not voter.handle_vote_request(360, "d", FencingToken(3, "b"), 100)  # a counter is used once
     assert voter.handle_vote_request(360, "d", FencingToken(4, "b"), 100)
-    voter.released("d", FencingToken(4, "b"))
+    voter.handle_release("d", FencingToken(4, "b"))
     assert voter.handle_vote_request(361, "d", FencingToken(5, "a"), 100) and not voter.handle_vote_request(
         361, "d", FencingToken(9, "c"), 101
     )
