--- a/gingergap/duties/manager.py
+++ b/gingergap/duties/manager.py
@@ -107,7 +107,7 @@
         for held in self.held.values():
             self._look(now, held, present)
 
-    def recall(self, duty: str, counter: int) -> None:
+    def restore_counter(self, duty: str, counter: int) -> None:
         """A counter that this member had heard of before it was started again: no older one is asked for or granted."""
         self.voter.newest[duty] = max(counter, self.voter.newest.get(duty, 0))
         if duty in self.held:
--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -124,7 +124,7 @@
             patience=period,
         )
         for duty, counter in (tokens or {}).items():
-            self.keeper.recall(duty, counter)
+            self.keeper.restore_counter(duty, counter)
         self.learned: dict[str, tuple[float, int, str]] = {}  # what: value, when by the own clock, who learned it
         self.runs: dict[str, int] = {}
         work.over = self._run_over
