--- a/gingergap/duties/manager.py
+++ b/gingergap/duties/manager.py
@@ -150,7 +150,7 @@
         if held is not None:
             held.claim.not_before = min(held.claim.not_before, now)
 
-    def done(self, now: int, duty: str) -> None:
+    def record_success(self, now: int, duty: str) -> None:
         held = self.held[duty]
         held.done_at = held.heard_done_at = now
         held.failures = 0
--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -243,7 +243,7 @@
             self.refused.discard(name)
         elif name in self.keeper.held:
             if done:
-                self.keeper.done(self.clock(), name)
+                self.keeper.record_success(self.clock(), name)
             else:
                 self.keeper.failed(self.clock(), name)
 
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -164,7 +164,7 @@
         if self.fence.admit(self.now, name, token, self.duties[name].exclusive):
             self.accepted[name].append((self.now, one.name, token))
             one.acts[name] += 1
-            one.keeper.done(now, name)
+            one.keeper.record_success(now, name)
         else:
             self.refused += 1
             one.keeper.refused(now, name, self.fence.newest[name][0])
