--- a/gingergap/duties/manager.py
+++ b/gingergap/duties/manager.py
@@ -155,7 +155,7 @@
         held.done_at = held.heard_done_at = now
         held.failures = 0
 
-    def failed(self, now: int, duty: str) -> None:
+    def record_failure(self, now: int, duty: str) -> None:
         """It raised, or hung past its time. Twice in a row, and another shall try."""
         held = self.held[duty]
         held.failures += 1
--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -245,7 +245,7 @@
             if done:
                 self.keeper.record_success(self.clock(), name)
             else:
-                self.keeper.failed(self.clock(), name)
+                self.keeper.record_failure(self.clock(), name)
 
     def _probe(self, duty: Duty, exchange: str) -> bool:
         """OPTIONS to an exchange, under the lease's token; its answer time is shared. One that does not answer has been
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -357,7 +357,7 @@
     holder = world.accepted["probe"][-1][1]
     keeper = world.instances[holder].keeper
     for _ in range(2):
-        keeper.failed(world.instances[holder].clock(), "probe")
+        keeper.record_failure(world.instances[holder].clock(), "probe")
     began = world.now
     world.run(14 * SECOND)
     assert {who for when, who, _ in world.accepted["probe"] if when > began + 100} - {holder}
