--- a/gingergap/duties/manager.py
+++ b/gingergap/duties/manager.py
@@ -164,7 +164,7 @@
             held.aside_until = now + 2 * held.duty.limit
             self._give_up(now, held)
 
-    def refused(self, now: int, duty: str, newest: FencingToken) -> None:
+    def handle_stale_token(self, now: int, duty: str, newest: FencingToken) -> None:
         """What the duty touches has seen a newer token: the lease is another's, whatever we believed."""
         held = self.held[duty]
         held.claim.heard = max(held.claim.heard, newest.counter)
--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -268,7 +268,7 @@
                 token.counter + 1,
             )
             self.refused.add(duty.name)
-            self.keeper.refused(self.clock(), duty.name, FencingToken(counter, ""))
+            self.keeper.handle_stale_token(self.clock(), duty.name, FencingToken(counter, ""))
             return False
         took = -1.0 if message is None else (self.clock() - began) / 10
         self._share(duty, token, f"answer ms of {exchange}", took)
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -167,7 +167,7 @@
             one.keeper.record_success(now, name)
         else:
             self.refused += 1
-            one.keeper.refused(now, name, self.fence.newest[name][0])
+            one.keeper.handle_stale_token(now, name, self.fence.newest[name][0])
 
     def run(self, span):
         end = self.now + span
