--- a/gingergap/duties/manager.py
+++ b/gingergap/duties/manager.py
@@ -26,16 +26,16 @@
 
 
 class DutyHost(Protocol):
-    def ask(self, duty: str, token: FencingToken, lasts: int, done_ago: int) -> None:
+    def request_votes(self, duty: str, token: FencingToken, lasts: int, done_ago: int) -> None:
         """Ask all others for their votes; `done_ago` is how long ago the asker did it, -1 for never."""
 
-    def release(self, duty: str, token: FencingToken) -> None:
+    def release_lease(self, duty: str, token: FencingToken) -> None:
         """Tell all that a lease is given back."""
 
-    def begin(self, duty: Duty, token: FencingToken, first_in: int) -> None:
+    def start_duty(self, duty: Duty, token: FencingToken, first_in: int) -> None:
         """The duty is ours: do it in `first_in`, then each period, until `end`."""
 
-    def end(self, duty: Duty) -> None:
+    def stop_duty(self, duty: Duty) -> None:
         """The duty is no longer ours."""
 
 
@@ -142,7 +142,7 @@
         ):
             held.since = now
             first_in = max(0, held.heard_done_at + held.duty.period - now)
-            self.host.begin(held.duty, self.token(held), first_in)
+            self.host.start_duty(held.duty, self.token(held), first_in)
 
     def handle_release(self, now: int, duty: str, token: FencingToken) -> None:
         self.voter.handle_release(duty, token)
@@ -214,7 +214,7 @@
             claim.not_before = now + self.draw.randrange(self.patience // 2, (2 + 2 * rank) * self.patience)
             if held.since < 0:
                 self.voter.handle_release(duty.name, self.token(held))
-                self.host.release(duty.name, self.token(held))
+                self.host.release_lease(duty.name, self.token(held))
         if held.since >= 0:
             if owner not in ("", self.name) and now - held.owner_since > self.settle and now >= held.stands_in_until:
                 self._give_up(now, held)
@@ -235,7 +235,7 @@
     def _ask(self, now: int, held: DutyState, counter: int, present: dict[str, int]) -> None:
         token = FencingToken(counter, self.holder)
         done_ago = now - held.done_at if held.done_at >= 0 else -1
-        self.host.ask(held.duty.name, token, self.lasts, done_ago)
+        self.host.request_votes(held.duty.name, token, self.lasts, done_ago)
         granted, newest = self.handle_vote_request(now, held.duty.name, token, self.lasts, -1)
         self.handle_vote(now, self.name, held.duty.name, counter, granted, newest, present)
 
@@ -243,7 +243,7 @@
         if held.since >= 0:
             token = self.token(held)
             self.voter.handle_release(held.duty.name, token)
-            self.host.release(held.duty.name, token)
+            self.host.release_lease(held.duty.name, token)
             held.claim.not_before = now + self.patience
         self._lose(held)
 
@@ -251,4 +251,4 @@
         held.claim.drop()
         if held.since >= 0:
             held.since = -1
-            self.host.end(held.duty)
+            self.host.stop_duty(held.duty)
--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -204,13 +204,13 @@
 
     # --- host of the Keeper ---
 
-    def ask(self, duty: str, token: FencingToken, lasts: int, done_ago: int) -> None:
+    def request_votes(self, duty: str, token: FencingToken, lasts: int, done_ago: int) -> None:
         self._tell_all(messages.VoteRequest(duty, token.counter, token.holder, lasts, done_ago))
 
-    def release(self, duty: str, token: FencingToken) -> None:
+    def release_lease(self, duty: str, token: FencingToken) -> None:
         self._tell_all(messages.LeaseRelease(duty, token.counter, token.holder))
 
-    def begin(self, duty: Duty, token: FencingToken, first_in: int) -> None:
+    def start_duty(self, duty: Duty, token: FencingToken, first_in: int) -> None:
         self.log.info("duty-ours", duty=duty.name, counter=token.counter)
         self.work.runner.add(
             duty.name,
@@ -224,7 +224,7 @@
             deadline=duty.limit // 2,
         )
 
-    def end(self, duty: Duty) -> None:
+    def stop_duty(self, duty: Duty) -> None:
         self.log.info("duty-given-up", duty=duty.name)
         self.work.runner.cancel(duty.name)
 
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -45,7 +45,7 @@
     def clock(self):
         return int(self.world.now * self.rate) + self.offset
 
-    def ask(self, duty, token, lasts, done_ago):
+    def request_votes(self, duty, token, lasts, done_ago):
         for other in self.world.names:
             if other != self.name:
                 self.world.send(self.name, other, lambda one: one.vote(self.name, duty, token, lasts, done_ago))
@@ -59,15 +59,15 @@
             lambda one: one.keeper.handle_vote(one.clock(), me, duty, token.counter, granted, newest, one.world.present(one)),
         )
 
-    def release(self, duty, token):
+    def release_lease(self, duty, token):
         for other in self.world.names:
             if other != self.name:
                 self.world.send(self.name, other, lambda one: one.keeper.handle_release(one.clock(), duty, token))
 
-    def begin(self, duty, token, first_in):
+    def start_duty(self, duty, token, first_in):
         self.began[duty.name] = self.clock() + first_in
 
-    def end(self, duty):
+    def stop_duty(self, duty):
         self.began.pop(duty.name, None)
 
     def step(self):
