--- a/gingergap/duties/manager.py
+++ b/gingergap/duties/manager.py
@@ -92,7 +92,7 @@
         self.holder = f"{name}/{life:x}"
         self.lasts, self.error, self.settle, self.patience = lasts, error, settle, patience
         self.voter = Voter(now, lasts, error)
-        self.held = {duty.name: DutyState(duty, now) for duty in duties}
+        self.states = {duty.name: DutyState(duty, now) for duty in duties}
         self.present: dict[str, int] = {}
 
     # --- what can happen ---
@@ -102,27 +102,27 @@
         if present != self.present:  # ranking all anew at each look cost a fifth of the time with sixty of each
             self.present = dict(present)
             able = {name: weight for name, weight in present.items() if name in self.everybody}
-            for held in self.held.values():
+            for held in self.states.values():
                 held.order = rank_members(able, held.duty.name)
-        for held in self.held.values():
+        for held in self.states.values():
             self._look(now, held, present)
 
     def restore_counter(self, duty: str, counter: int) -> None:
         """A counter that this member had heard of before it was started again: no older one is asked for or granted."""
         self.voter.newest[duty] = max(counter, self.voter.newest.get(duty, 0))
-        if duty in self.held:
-            self.held[duty].claim.heard = max(counter, self.held[duty].claim.heard)
+        if duty in self.states:
+            self.states[duty].claim.heard = max(counter, self.states[duty].claim.heard)
 
     def counters(self) -> dict[str, int]:
         """The highest counter heard of for each duty."""
-        heard = {name: held.claim.heard for name, held in self.held.items() if held.claim.heard}
+        heard = {name: held.claim.heard for name, held in self.states.items() if held.claim.heard}
         for duty, counter in self.voter.newest.items():
             heard[duty] = max(counter, heard.get(duty, 0))
         return heard
 
     def handle_vote_request(self, now: int, duty: str, token: FencingToken, lasts: int, done_ago: int) -> tuple[bool, int]:
         """Another asks for our vote: whether it has it, and the highest counter heard of."""
-        held = self.held.get(duty)
+        held = self.states.get(duty)
         if held is not None:
             held.claim.heard = max(held.claim.heard, token.counter)
             if done_ago >= 0:
@@ -133,7 +133,7 @@
     def handle_vote(
         self, now: int, voter: str, duty: str, counter: int, granted: bool, newest: int, present: dict[str, int]
     ) -> None:
-        held = self.held.get(duty)
+        held = self.states.get(duty)
         if held is None or voter not in self.everybody:
             return
         if (
@@ -146,18 +146,18 @@
 
     def handle_release(self, now: int, duty: str, token: FencingToken) -> None:
         self.voter.handle_release(duty, token)
-        held = self.held.get(duty)
+        held = self.states.get(duty)
         if held is not None:
             held.claim.not_before = min(held.claim.not_before, now)
 
     def record_success(self, now: int, duty: str) -> None:
-        held = self.held[duty]
+        held = self.states[duty]
         held.done_at = held.heard_done_at = now
         held.failures = 0
 
     def record_failure(self, now: int, duty: str) -> None:
         """It raised, or hung past its time. Twice in a row, and another shall try."""
-        held = self.held[duty]
+        held = self.states[duty]
         held.failures += 1
         if held.failures >= 2:
             held.failures = 0
@@ -166,7 +166,7 @@
 
     def handle_stale_token(self, now: int, duty: str, newest: FencingToken) -> None:
         """What the duty touches has seen a newer token: the lease is another's, whatever we believed."""
-        held = self.held[duty]
+        held = self.states[duty]
         held.claim.heard = max(held.claim.heard, newest.counter)
         held.heard_done_at = now
         held.claim.not_before = now + held.duty.limit if not held.duty.exclusive else now + self.patience
@@ -174,7 +174,7 @@
 
     def leave(self, now: int) -> None:
         """Give everything back, so that others can go on at once."""
-        for held in self.held.values():
+        for held in self.states.values():
             held.aside_until = now + (1 << 60)
             self._give_up(now, held)
 
@@ -182,13 +182,13 @@
 
     def may_act(self, now: int, duty: str) -> bool:
         """To be asked before each effect."""
-        return self.held[duty].claim.holds(now)
+        return self.states[duty].claim.holds(now)
 
     def token(self, held: DutyState) -> FencingToken:
         return FencingToken(held.claim.counter, self.holder)
 
     def token_of(self, duty: str) -> FencingToken:
-        return self.token(self.held[duty])
+        return self.token(self.states[duty])
 
     # --- parts ---
 
--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -241,7 +241,7 @@
     def _run_over(self, name: str, done: bool) -> None:
         if name in self.refused:
             self.refused.discard(name)
-        elif name in self.keeper.held:
+        elif name in self.keeper.states:
             if done:
                 self.keeper.record_success(self.clock(), name)
             else:
@@ -323,7 +323,7 @@
     def duties_table(self) -> list[dict[str, Any]]:
         now = self.clock()
         rows = []
-        for name, held in sorted(self.keeper.held.items()):
+        for name, held in sorted(self.keeper.states.items()):
             grant = self.keeper.voter.grants.get(name)
             holder = grant.token.holder.partition("/")[0] if grant is not None and now < grant.until else ""
             ago = (now - held.heard_done_at) / SECOND
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -75,7 +75,7 @@
         self.keeper.tick(now, self.world.present(self))
         for name, when in list(self.began.items()):
             if now >= when and self.keeper.may_act(now, name):
-                self.began[name] = now + self.keeper.held[name].duty.period
+                self.began[name] = now + self.keeper.states[name].duty.period
                 token = self.keeper.token_of(name)
                 # Between the look at the lease and the effect anything may happen, a long standstill too.
                 self.world.at(
