--- a/gingergap/duties/manager.py
+++ b/gingergap/duties/manager.py
@@ -45,13 +45,13 @@
     __slots__ = (
         "duty",
         "claim",
-        "since",
+        "held_since",
         "done_at",
-        "heard_done_at",
+        "last_done_at",
         "failures",
         "aside_until",
-        "owner",
-        "owner_since",
+        "preferred_member",
+        "preferred_since",
         "stands_in_until",
         "order",
     )
@@ -59,12 +59,12 @@
     def __init__(self, duty: Duty, now: int) -> None:
         self.duty = duty
         self.claim = Claim()
-        self.since = -1  # when it became ours, -1: it is not
+        self.held_since = -1  # when it became ours, -1: it is not
         self.done_at = -1
-        self.heard_done_at = now  # by anybody, as far as known; at first: give others time
+        self.last_done_at = now  # by anybody, as far as known; at first: give others time
         self.failures = 0
         self.aside_until = 0
-        self.owner, self.owner_since = "", now
+        self.preferred_member, self.preferred_since = "", now
         self.order: list[str] = []  # members present, the nearest first
         self.stands_in_until = now  # for an owner that is there but does not do it
 
@@ -126,7 +126,7 @@
         if held is not None:
             held.claim.heard = max(held.claim.heard, token.counter)
             if done_ago >= 0:
-                held.heard_done_at = max(held.heard_done_at, now - done_ago)
+                held.last_done_at = max(held.last_done_at, now - done_ago)
         granted = self.voter.handle_vote_request(now, duty, token, lasts)
         return granted, self.voter.newest.get(duty, 0)
 
@@ -138,10 +138,10 @@
             return
         if (
             held.claim.handle_vote(now, voter, counter, granted, newest, self._needed(held, present), self.lasts, self.error)
-            and held.since < 0
+            and held.held_since < 0
         ):
-            held.since = now
-            first_in = max(0, held.heard_done_at + held.duty.period - now)
+            held.held_since = now
+            first_in = max(0, held.last_done_at + held.duty.period - now)
             self.host.start_duty(held.duty, self.token(held), first_in)
 
     def handle_release(self, now: int, duty: str, token: FencingToken) -> None:
@@ -152,7 +152,7 @@
 
     def record_success(self, now: int, duty: str) -> None:
         held = self.states[duty]
-        held.done_at = held.heard_done_at = now
+        held.done_at = held.last_done_at = now
         held.failures = 0
 
     def record_failure(self, now: int, duty: str) -> None:
@@ -168,7 +168,7 @@
         """What the duty touches has seen a newer token: the lease is another's, whatever we believed."""
         held = self.states[duty]
         held.claim.heard = max(held.claim.heard, newest.counter)
-        held.heard_done_at = now
+        held.last_done_at = now
         held.claim.not_before = now + held.duty.limit if not held.duty.exclusive else now + self.patience
         self._lose(held)
 
@@ -202,9 +202,9 @@
         claim, duty = held.claim, held.duty
         order = held.order
         owner = order[0] if order else ""
-        if owner != held.owner:
-            held.owner, held.owner_since = owner, now
-        if held.since >= 0 and not claim.holds(now):
+        if owner != held.preferred_member:
+            held.preferred_member, held.preferred_since = owner, now
+        if held.held_since >= 0 and not claim.holds(now):
             self._lose(held)
         rank = order.index(self.name) if self.name in order else len(order)
         if claim.asked_at >= 0 and now - claim.asked_at > self.patience:
@@ -212,21 +212,21 @@
             # between rivals, the nearer sooner: claims that met each other round after round were seen in the model.
             claim.asked_at = -1
             claim.not_before = now + self.draw.randrange(self.patience // 2, (2 + 2 * rank) * self.patience)
-            if held.since < 0:
+            if held.held_since < 0:
                 self.voter.handle_release(duty.name, self.token(held))
                 self.host.release_lease(duty.name, self.token(held))
-        if held.since >= 0:
-            if owner not in ("", self.name) and now - held.owner_since > self.settle and now >= held.stands_in_until:
+        if held.held_since >= 0:
+            if owner not in ("", self.name) and now - held.preferred_since > self.settle and now >= held.stands_in_until:
                 self._give_up(now, held)
             elif claim.asked_at < 0 and claim.held_until - now < self.lasts * 2 // 3:
                 self._ask(now, held, claim.renew(now), present)
             return
         if self.name not in order or now < held.aside_until or now < claim.not_before or claim.asked_at >= 0:
             return
-        overdue = now - held.heard_done_at - duty.limit // 2
+        overdue = now - held.last_done_at - duty.limit // 2
         turn = overdue // max(1, duty.limit // 8)
         if rank == 0:
-            if now - held.owner_since >= self.settle // 4:
+            if now - held.preferred_since >= self.settle // 4:
                 self._ask(now, held, claim.ask(now), present)
         elif overdue > 0 and turn % len(order) == rank:  # one after the other
             held.stands_in_until = now + 2 * duty.limit
@@ -240,7 +240,7 @@
         self.handle_vote(now, self.name, held.duty.name, counter, granted, newest, present)
 
     def _give_up(self, now: int, held: DutyState) -> None:
-        if held.since >= 0:
+        if held.held_since >= 0:
             token = self.token(held)
             self.voter.handle_release(held.duty.name, token)
             self.host.release_lease(held.duty.name, token)
@@ -249,6 +249,6 @@
 
     def _lose(self, held: DutyState) -> None:
         held.claim.drop()
-        if held.since >= 0:
-            held.since = -1
+        if held.held_since >= 0:
+            held.held_since = -1
             self.host.stop_duty(held.duty)
--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -326,13 +326,13 @@
         for name, held in sorted(self.keeper.states.items()):
             grant = self.keeper.voter.grants.get(name)
             holder = grant.token.holder.partition("/")[0] if grant is not None and now < grant.until else ""
-            ago = (now - held.heard_done_at) / SECOND
+            ago = (now - held.last_done_at) / SECOND
             rows.append(
                 {
                     "duty": name,
-                    "nearest": held.owner,
-                    "holder": self.name if held.since >= 0 else holder,
-                    "counter": held.claim.counter if held.since >= 0 else grant.token.counter if grant else 0,
+                    "nearest": held.preferred_member,
+                    "holder": self.name if held.held_since >= 0 else holder,
+                    "counter": held.claim.counter if held.held_since >= 0 else grant.token.counter if grant else 0,
                     "mode": "once at most" if held.duty.exclusive else "at least once",
                     "done_ago_s": round(ago, 1),
                     "overdue": ago * SECOND > held.duty.limit,
