--- a/gingergap/duties/leases.py
+++ b/gingergap/duties/leases.py
@@ -20,10 +20,10 @@
 
 
 class Grant:
-    __slots__ = ("token", "until")
+    __slots__ = ("token", "expires_at")
 
     def __init__(self, token: FencingToken, until: int) -> None:
-        self.token, self.until = token, until
+        self.token, self.expires_at = token, until
 
 
 class Voter:
@@ -44,9 +44,9 @@
             return False
         grant = self.grants.get(duty)
         if grant is not None and grant.token == token:
-            grant.until = max(grant.until, now + lasts)
+            grant.expires_at = max(grant.expires_at, now + lasts)
             return True
-        if grant is not None and now < grant.until and grant.token.holder != token.holder:
+        if grant is not None and now < grant.expires_at and grant.token.holder != token.holder:
             return False
         if token.counter <= newest:
             return False
@@ -57,7 +57,7 @@
         """The holder gives a lease back before its time."""
         grant = self.grants.get(duty)
         if grant is not None and grant.token == token:
-            grant.until = 0
+            grant.expires_at = 0
 
 
 class Claim:
--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -325,7 +325,7 @@
         rows = []
         for name, held in sorted(self.keeper.states.items()):
             grant = self.keeper.voter.grants.get(name)
-            holder = grant.token.holder.partition("/")[0] if grant is not None and now < grant.until else ""
+            holder = grant.token.holder.partition("/")[0] if grant is not None and now < grant.expires_at else ""
             ago = (now - held.last_done_at) / SECOND
             rows.append(
                 {
