--- a/gingergap/duties/leases.py
+++ b/gingergap/duties/leases.py
@@ -30,27 +30,27 @@
     """One member's votes on all duties. `longest` is the longest lease that anybody asks for, `error` the bound on how
     much two clocks' rates differ, as a part."""
 
-    def __init__(self, now: int, longest: int, error: float) -> None:
-        self.mute_until = now + int(longest * (1 + 2 * error)) + 1
-        self.longest, self.error = longest, error
+    def __init__(self, now: int, longest: int, clock_error: float) -> None:
+        self.mute_until = now + int(longest * (1 + 2 * clock_error)) + 1
+        self.longest, self.clock_error = longest, clock_error
         self.grants: dict[str, Grant] = {}
         self.newest: dict[str, int] = {}
 
-    def handle_vote_request(self, now: int, duty: str, token: FencingToken, lasts: int) -> bool:
+    def handle_vote_request(self, now: int, duty: str, token: FencingToken, lease_duration: int) -> bool:
         """Grant or extend a lease; `newest` tells the asker how high to go if not."""
         newest = self.newest.get(duty, 0)
         self.newest[duty] = max(newest, token.counter)
-        if now < self.mute_until or lasts > self.longest:
+        if now < self.mute_until or lease_duration > self.longest:
             return False
         grant = self.grants.get(duty)
         if grant is not None and grant.token == token:
-            grant.expires_at = max(grant.expires_at, now + lasts)
+            grant.expires_at = max(grant.expires_at, now + lease_duration)
             return True
         if grant is not None and now < grant.expires_at and grant.token.holder != token.holder:
             return False
         if token.counter <= newest:
             return False
-        self.grants[duty] = Grant(token, now + lasts)
+        self.grants[duty] = Grant(token, now + lease_duration)
         return True
 
     def handle_release(self, duty: str, token: FencingToken) -> None:
@@ -89,7 +89,7 @@
         return self.counter
 
     def handle_vote(
-        self, now: int, voter: str, counter: int, granted: bool, newest: int, needed: int, lasts: int, error: float
+        self, now: int, voter: str, counter: int, granted: bool, newest: int, needed: int, lease_duration: int, clock_error: float
     ) -> bool:
         """A vote came; whether it makes the lease ours or longer. It counts from when the round began, since that is
         before any voter's clock began."""
@@ -99,7 +99,7 @@
         self.votes.add(voter)
         if len(self.votes) < needed:
             return False
-        until = self.asked_at + int(lasts * (1 - 2 * error))
+        until = self.asked_at + int(lease_duration * (1 - 2 * clock_error))
         self.asked_at = -1
         if until <= now:
             return False
--- a/gingergap/duties/manager.py
+++ b/gingergap/duties/manager.py
@@ -26,7 +26,7 @@
 
 
 class DutyHost(Protocol):
-    def request_votes(self, duty: str, token: FencingToken, lasts: int, done_ago: int) -> None:
+    def request_votes(self, duty: str, token: FencingToken, lease_duration: int, done_ago: int) -> None:
         """Ask all others for their votes; `done_ago` is how long ago the asker did it, -1 for never."""
 
     def release_lease(self, duty: str, token: FencingToken) -> None:
@@ -83,15 +83,20 @@
         everybody: frozenset[str],
         duties: list[Duty],
         *,
-        lasts: int = 30_000,
-        error: float = 0.01,
-        settle: int = 10_000,
-        patience: int = 5_000,
+        lease_duration: int = 30_000,
+        clock_error: float = 0.01,
+        handover_delay: int = 10_000,
+        vote_timeout: int = 5_000,
     ) -> None:
         self.host, self.draw, self.name, self.everybody = host, draw, name, everybody | {name}
         self.holder = f"{name}/{life:x}"
-        self.lasts, self.error, self.settle, self.patience = lasts, error, settle, patience
-        self.voter = Voter(now, lasts, error)
+        self.lease_duration, self.clock_error, self.handover_delay, self.vote_timeout = (
+            lease_duration,
+            clock_error,
+            handover_delay,
+            vote_timeout,
+        )
+        self.voter = Voter(now, lease_duration, clock_error)
         self.states = {duty.name: DutyState(duty, now) for duty in duties}
         self.present: dict[str, int] = {}
 
@@ -120,14 +125,14 @@
             heard[duty] = max(counter, heard.get(duty, 0))
         return heard
 
-    def handle_vote_request(self, now: int, duty: str, token: FencingToken, lasts: int, done_ago: int) -> tuple[bool, int]:
+    def handle_vote_request(self, now: int, duty: str, token: FencingToken, lease_duration: int, done_ago: int) -> tuple[bool, int]:
         """Another asks for our vote: whether it has it, and the highest counter heard of."""
         held = self.states.get(duty)
         if held is not None:
             held.claim.heard = max(held.claim.heard, token.counter)
             if done_ago >= 0:
                 held.last_done_at = max(held.last_done_at, now - done_ago)
-        granted = self.voter.handle_vote_request(now, duty, token, lasts)
+        granted = self.voter.handle_vote_request(now, duty, token, lease_duration)
         return granted, self.voter.newest.get(duty, 0)
 
     def handle_vote(
@@ -137,7 +142,9 @@
         if held is None or voter not in self.everybody:
             return
         if (
-            held.claim.handle_vote(now, voter, counter, granted, newest, self._needed(held, present), self.lasts, self.error)
+            held.claim.handle_vote(
+                now, voter, counter, granted, newest, self._needed(held, present), self.lease_duration, self.clock_error
+            )
             and held.held_since < 0
         ):
             held.held_since = now
@@ -169,7 +176,7 @@
         held = self.states[duty]
         held.claim.heard = max(held.claim.heard, newest.counter)
         held.last_done_at = now
-        held.claim.not_before = now + held.duty.limit if not held.duty.exclusive else now + self.patience
+        held.claim.not_before = now + held.duty.limit if not held.duty.exclusive else now + self.vote_timeout
         self._lose(held)
 
     def leave(self, now: int) -> None:
@@ -207,18 +214,18 @@
         if held.held_since >= 0 and not claim.holds(now):
             self._lose(held)
         rank = order.index(self.name) if self.name in order else len(order)
-        if claim.asked_at >= 0 and now - claim.asked_at > self.patience:
+        if claim.asked_at >= 0 and now - claim.asked_at > self.vote_timeout:
             # Too few votes. Those that we have bar others, so they are given back; and again after a while that differs
             # between rivals, the nearer sooner: claims that met each other round after round were seen in the model.
             claim.asked_at = -1
-            claim.not_before = now + self.draw.randrange(self.patience // 2, (2 + 2 * rank) * self.patience)
+            claim.not_before = now + self.draw.randrange(self.vote_timeout // 2, (2 + 2 * rank) * self.vote_timeout)
             if held.held_since < 0:
                 self.voter.handle_release(duty.name, self.token(held))
                 self.host.release_lease(duty.name, self.token(held))
         if held.held_since >= 0:
-            if owner not in ("", self.name) and now - held.preferred_since > self.settle and now >= held.stands_in_until:
+            if owner not in ("", self.name) and now - held.preferred_since > self.handover_delay and now >= held.stands_in_until:
                 self._give_up(now, held)
-            elif claim.asked_at < 0 and claim.held_until - now < self.lasts * 2 // 3:
+            elif claim.asked_at < 0 and claim.held_until - now < self.lease_duration * 2 // 3:
                 self._ask(now, held, claim.renew(now), present)
             return
         if self.name not in order or now < held.aside_until or now < claim.not_before or claim.asked_at >= 0:
@@ -226,7 +233,7 @@
         overdue = now - held.last_done_at - duty.limit // 2
         turn = overdue // max(1, duty.limit // 8)
         if rank == 0:
-            if now - held.preferred_since >= self.settle // 4:
+            if now - held.preferred_since >= self.handover_delay // 4:
                 self._ask(now, held, claim.ask(now), present)
         elif overdue > 0 and turn % len(order) == rank:  # one after the other
             held.stands_in_until = now + 2 * duty.limit
@@ -235,8 +242,8 @@
     def _ask(self, now: int, held: DutyState, counter: int, present: dict[str, int]) -> None:
         token = FencingToken(counter, self.holder)
         done_ago = now - held.done_at if held.done_at >= 0 else -1
-        self.host.request_votes(held.duty.name, token, self.lasts, done_ago)
-        granted, newest = self.handle_vote_request(now, held.duty.name, token, self.lasts, -1)
+        self.host.request_votes(held.duty.name, token, self.lease_duration, done_ago)
+        granted, newest = self.handle_vote_request(now, held.duty.name, token, self.lease_duration, -1)
         self.handle_vote(now, self.name, held.duty.name, counter, granted, newest, present)
 
     def _give_up(self, now: int, held: DutyState) -> None:
@@ -244,7 +251,7 @@
             token = self.token(held)
             self.voter.handle_release(held.duty.name, token)
             self.host.release_lease(held.duty.name, token)
-            held.claim.not_before = now + self.patience
+            held.claim.not_before = now + self.vote_timeout
         self._lose(held)
 
     def _lose(self, held: DutyState) -> None:
--- a/gingergap/duties/messages.py
+++ b/gingergap/duties/messages.py
@@ -7,7 +7,7 @@
     duty: str
     counter: int
     holder: str
-    lasts: int
+    lease_duration: int
     done_ago: int
 
 
--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -119,9 +119,9 @@
             life,
             frozenset(everybody),
             duties,
-            lasts=lasts,
-            settle=2 * period,
-            patience=period,
+            lease_duration=lasts,
+            handover_delay=2 * period,
+            vote_timeout=period,
         )
         for duty, counter in (tokens or {}).items():
             self.keeper.restore_counter(duty, counter)
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -16,7 +16,7 @@
 SECOND = 10_000
 ONCE = Duty("probe", 2 * SECOND, 12 * SECOND, exclusive=True)
 LEAST = Duty("sweep", 2 * SECOND, 12 * SECOND, exclusive=False)
-LASTS, ERROR = 30_000, 0.02
+LEASE_DURATION, CLOCK_ERROR = 30_000, 0.02
 
 
 class Instance:
@@ -24,7 +24,7 @@
 
     def __init__(self, world, name, life, duties):
         self.world, self.name, self.life = world, name, life
-        self.rate = 1 + world.draw.uniform(-ERROR, ERROR)
+        self.rate = 1 + world.draw.uniform(-CLOCK_ERROR, CLOCK_ERROR)
         self.offset = world.draw.randrange(10**9)
         self.paused_until = 0
         self.running = True
@@ -38,8 +38,8 @@
             life,
             frozenset(world.names),
             duties,
-            lasts=LASTS,
-            error=ERROR,
+            lease_duration=LEASE_DURATION,
+            clock_error=CLOCK_ERROR,
         )
 
     def clock(self):
@@ -202,7 +202,7 @@
         what = draw.choice(["pause", "pause", "kill", "split", "one-way", "calm", "all"])
         name = draw.choice(world.names)
         if what == "pause" and name in world.instances:
-            world.instances[name].paused_until = world.now + draw.randrange(3 * LASTS)
+            world.instances[name].paused_until = world.now + draw.randrange(3 * LEASE_DURATION)
         elif what == "kill" and name in world.instances:
             world.stop(name)
         elif what == "split":
@@ -262,7 +262,7 @@
 
 
 def test_with_leases_that_outlast_the_votes_the_model_finds_the_fault(monkeypatch):
-    monkeypatch.setattr(Claim, "holds", lambda self, now: self.held_until >= 0 and now < self.held_until + LASTS)
+    monkeypatch.setattr(Claim, "holds", lambda self, now: self.held_until >= 0 and now < self.held_until + LEASE_DURATION)
     assert broken_worlds(lambda world: None) > 0
 
 
@@ -308,13 +308,13 @@
     world.run(30 * SECOND)
     holder = world.accepted["probe"][-1][1]
     one = world.instances[holder]
-    pause = world.now + 3 * LASTS
+    pause = world.now + 3 * LEASE_DURATION
     world.effect_delay = lambda who: 10 if who is not one else max(10, pause - world.now + 20)
     before = len(world.accepted["probe"])
     while not any(act for act in world.heap if act[0] > pause - 10) and world.now < 60 * SECOND:
         world.run(SECOND // 10)
     one.paused_until = pause
-    world.run(4 * LASTS)
+    world.run(4 * LEASE_DURATION)
     others = [name for _, name, _ in world.accepted["probe"][before:] if name != holder]
     assert others  # taken over
     assert world.refused >= 1  # and what the sleeper brought on waking was refused
