--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -22,7 +22,7 @@
 from ..membership.swim import Membership
 from ..membership.transport import DUTIES, MEMBERSHIP, DatagramSocket
 from ..scheduler.runner import Runner
-from ..scheduler.task_scheduler import Background, WorkClass
+from ..scheduler.task_scheduler import TaskScheduler, WorkClass
 from ..sip.fields import host_port
 from .proxy import DUTY_FIELD, EdgeProxy
 
@@ -38,7 +38,7 @@
         self, proxy: EdgeProxy, clock: Callable[[], int], log: Any, load: Callable[[], float], *, budget: float, longest_dialog: int
     ) -> None:
         self.proxy, self.clock = proxy, clock
-        self.plan = Background(
+        self.plan = TaskScheduler(
             Random(secrets.randbits(64)), {"duties": WorkClass(budget), "sweeps": WorkClass(budget), "store": WorkClass(budget)}
         )
         self.runner = Runner(self.plan, clock, load, log, self._over)
--- a/gingergap/scheduler/runner.py
+++ b/gingergap/scheduler/runner.py
@@ -6,7 +6,7 @@
 
 import gevent
 
-from .task_scheduler import Background
+from .task_scheduler import TaskScheduler
 
 
 class Runner:
@@ -14,7 +14,7 @@
     returns whether it was done."""
 
     def __init__(
-        self, plan: Background, clock: Callable[[], int], load: Callable[[], float], log: Any, over: Callable[[str, bool], None]
+        self, plan: TaskScheduler, clock: Callable[[], int], load: Callable[[], float], log: Any, over: Callable[[str, bool], None]
     ) -> None:
         self.plan, self.clock, self.load, self.log, self.over = plan, clock, load, log, over
         self.runs: dict[str, Callable[[], bool]] = {}
--- a/gingergap/scheduler/task_scheduler.py
+++ b/gingergap/scheduler/task_scheduler.py
@@ -52,7 +52,7 @@
         self.last_done = -1
 
 
-class Background:
+class TaskScheduler:
     """All background tasks of one process. `draw` gives the jitter, a part of the period either way."""
 
     def __init__(self, draw: Random, classes: dict[str, WorkClass], jitter: float = 0.05, most_at_once: int = 4) -> None:
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -9,11 +9,11 @@
 from hypothesis import strategies as st
 
 from gingergap.scheduler.runner import Runner
-from gingergap.scheduler.task_scheduler import SECOND, Background, WorkClass
+from gingergap.scheduler.task_scheduler import SECOND, TaskScheduler, WorkClass
 
 
 def plan(rate=100.0, jitter=0.0, **more):
-    return Background(Random(1), {"duty": WorkClass(rate), "other": WorkClass(10.0)}, jitter, **more)
+    return TaskScheduler(Random(1), {"duty": WorkClass(rate), "other": WorkClass(10.0)}, jitter, **more)
 
 
 def play(back, until, load=0.0, took=None, start=0, step=100):
