--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -22,7 +22,7 @@
 from ..membership.swim import Membership
 from ..membership.transport import DUTIES, MEMBERSHIP, DatagramSocket
 from ..scheduler.runner import Runner
-from ..scheduler.task_scheduler import TaskScheduler, WorkClass
+from ..scheduler.task_scheduler import TaskScheduler, WorkBudget
 from ..sip.fields import host_port
 from .proxy import DUTY_FIELD, EdgeProxy
 
@@ -39,7 +39,7 @@
     ) -> None:
         self.proxy, self.clock = proxy, clock
         self.plan = TaskScheduler(
-            Random(secrets.randbits(64)), {"duties": WorkClass(budget), "sweeps": WorkClass(budget), "store": WorkClass(budget)}
+            Random(secrets.randbits(64)), {"duties": WorkBudget(budget), "sweeps": WorkBudget(budget), "store": WorkBudget(budget)}
         )
         self.runner = Runner(self.plan, clock, load, log, self._over)
         self.over: Callable[[str, bool], None] = lambda name, done: None
--- a/gingergap/scheduler/task_scheduler.py
+++ b/gingergap/scheduler/task_scheduler.py
@@ -11,7 +11,7 @@
 SECOND = 10_000
 
 
-class WorkClass:
+class WorkBudget:
     """`rate` ms of work a second while calls leave the process idle, `least` the part that is left under full load,
     `burst` the most that can be saved up."""
 
@@ -55,7 +55,7 @@
 class TaskScheduler:
     """All background tasks of one process. `draw` gives the jitter, a part of the period either way."""
 
-    def __init__(self, draw: Random, classes: dict[str, WorkClass], jitter: float = 0.05, most_at_once: int = 4) -> None:
+    def __init__(self, draw: Random, classes: dict[str, WorkBudget], jitter: float = 0.05, most_at_once: int = 4) -> None:
         self.draw, self.classes, self.jitter, self.most_at_once = draw, classes, jitter, most_at_once
         self.tasks: dict[str, Task] = {}
         self.running = 0
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -9,11 +9,11 @@
 from hypothesis import strategies as st
 
 from gingergap.scheduler.runner import Runner
-from gingergap.scheduler.task_scheduler import SECOND, TaskScheduler, WorkClass
+from gingergap.scheduler.task_scheduler import SECOND, TaskScheduler, WorkBudget
 
 
 def plan(rate=100.0, jitter=0.0, **more):
-    return TaskScheduler(Random(1), {"duty": WorkClass(rate), "other": WorkClass(10.0)}, jitter, **more)
+    return TaskScheduler(Random(1), {"duty": WorkBudget(rate), "other": WorkBudget(10.0)}, jitter, **more)
 
 
 def play(back, until, load=0.0, took=None, start=0, step=100):
@@ -61,7 +61,7 @@
 
 def test_what_is_overdue_past_its_limit_runs_on_credit():
     back = plan()
-    back.classes["duty"] = WorkClass(0.001, burst=10.0)
+    back.classes["duty"] = WorkBudget(0.001, burst=10.0)
     back.classes["duty"].saved = 0.0
     back.add(0, "a", "duty", period=SECOND, limit=3 * SECOND, cost=5.0)
     assert play(back, 3 * SECOND) == []
