--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -21,7 +21,7 @@
 from ..membership.codec import DatagramCodec
 from ..membership.swim import Membership
 from ..membership.transport import DUTIES, MEMBERSHIP, DatagramSocket
-from ..scheduler.runner import Runner
+from ..scheduler.runner import TaskRunner
 from ..scheduler.task_scheduler import TaskScheduler, WorkBudget
 from ..sip.fields import host_port
 from .proxy import DUTY_FIELD, EdgeProxy
@@ -41,7 +41,7 @@
         self.plan = TaskScheduler(
             Random(secrets.randbits(64)), {"duties": WorkBudget(budget), "sweeps": WorkBudget(budget), "store": WorkBudget(budget)}
         )
-        self.runner = Runner(self.plan, clock, load, log, self._over)
+        self.runner = TaskRunner(self.plan, clock, load, log, self._over)
         self.over: Callable[[str, bool], None] = lambda name, done: None
         self.runner.add(
             "sweep dialogs",
--- a/gingergap/scheduler/runner.py
+++ b/gingergap/scheduler/runner.py
@@ -9,7 +9,7 @@
 from .task_scheduler import TaskScheduler
 
 
-class Runner:
+class TaskRunner:
     """`clock` gives tenths of a millisecond, `load` the part that calls take. `run` of a task is called with nothing and
     returns whether it was done."""
 
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gingergap.scheduler.runner import Runner
+from gingergap.scheduler.runner import TaskRunner
 from gingergap.scheduler.task_scheduler import SECOND, TaskScheduler, WorkBudget
 
 
@@ -134,7 +134,7 @@
 def runner():
     told = []
     clock = [0]
-    runner = Runner(plan(), lambda: clock[0], lambda: 0.0, structlog.get_logger(), lambda name, done: told.append((name, done)))
+    runner = TaskRunner(plan(), lambda: clock[0], lambda: 0.0, structlog.get_logger(), lambda name, done: told.append((name, done)))
     runner.told, runner.clock_at = told, clock
     yield runner
     runner.stop()
