--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -219,7 +219,7 @@
             period=duty.period,
             limit=duty.limit,
             cost=duty.cost,
-            worth=duty.priority,
+            priority=duty.priority,
             first_in=first_in,
             deadline=duty.limit // 2,
         )
--- a/gingergap/scheduler/task_scheduler.py
+++ b/gingergap/scheduler/task_scheduler.py
@@ -32,7 +32,7 @@
         "kind",
         "period",
         "limit",
-        "worth",
+        "priority",
         "cost",
         "due",
         "started",
@@ -44,8 +44,10 @@
         "deadline",
     )
 
-    def __init__(self, name: str, kind: str, period: int, limit: int, worth: float, cost: float, due: int, deadline: int) -> None:
-        self.name, self.kind, self.period, self.limit, self.worth, self.cost = name, kind, period, limit, worth, cost
+    def __init__(
+        self, name: str, kind: str, period: int, limit: int, priority: float, cost: float, due: int, deadline: int
+    ) -> None:
+        self.name, self.kind, self.period, self.limit, self.priority, self.cost = name, kind, period, limit, priority, cost
         self.due, self.deadline = due, deadline
         self.started = -1  # -1: not running
         self.runs = self.failures = self.missed = self.overruns = 0
@@ -71,14 +73,14 @@
         period: int,
         limit: int,
         cost: float = 1.0,
-        worth: float = 1.0,
+        priority: float = 1.0,
         first_in: int = 0,
         deadline: int | None = None,
     ) -> None:
         """A task comes, or comes again with other figures. `deadline` is how long one run may take; a run that takes
         longer than the period by itself is not started twice."""
         old = self.tasks.get(name)
-        task = Task(name, kind, period, limit, worth, cost, now + first_in, deadline or max(period, SECOND))
+        task = Task(name, kind, period, limit, priority, cost, now + first_in, deadline or max(period, SECOND))
         if old is not None:
             task.started, task.runs, task.failures, task.cost = old.started, old.runs, old.failures, old.cost
             task.missed, task.overruns, task.last_done = old.missed, old.overruns, old.last_done
@@ -105,7 +107,7 @@
             saved = self._saved(task.kind, now, load)
             if saved < min(task.cost, self.classes[task.kind].burst) and late <= task.limit:
                 continue
-            rank = task.worth * (1 + late / max(1, task.period or task.limit)) * (10 if late > task.limit else 1)
+            rank = task.priority * (1 + late / max(1, task.period or task.limit)) * (10 if late > task.limit else 1)
             if rank > best_rank:
                 best, best_rank = task, rank
         if best is None:
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -42,7 +42,7 @@
 def test_a_budget_bounds_what_runs_and_the_worthier_goes_first():
     back = plan(rate=2.0)
     for name, worth in (("cheap", 1.0), ("dear", 5.0), ("mid", 2.0)):
-        back.add(0, name, "duty", period=SECOND, limit=100 * SECOND, cost=1.0, worth=worth)
+        back.add(0, name, "duty", period=SECOND, limit=100 * SECOND, cost=1.0, priority=worth)
     ran = [name for _, name in play(back, 30 * SECOND)]
     assert len(ran) <= 62
     assert ran.count("dear") > ran.count("mid") >= ran.count("cheap") > 0
