--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -21,7 +21,7 @@
 from gingergap.settings.day import DayForm
 from gingergap.settings.forms import read
 from gingergap.standins.script import Plan
-from gingergap.store.record_store import Book
+from gingergap.store.record_store import RecordStore
 from gingergap.store.records import ALIVE, CALLER, EXCHANGE, PAIR, Change
 from gingergap.trace.stories import STOOD, stories_of
 from gingergap.trace.stream import opened
@@ -62,7 +62,7 @@
         own = target / store.name
         shutil.rmtree(own, ignore_errors=True)
         shutil.copytree(store, own)
-        book = Book(own)
+        book = RecordStore(own)
         changes = []
         exchanges = [item for item in book.items(EXCHANGE)]
         bodies = [item.body for item in exchanges]
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -28,7 +28,7 @@
 from gingergap.sip.transactions import Hop
 from gingergap.standins.player import form, free_ports
 from gingergap.store.proxy_state import Memory, Word, recalled
-from gingergap.store.record_store import Book
+from gingergap.store.record_store import RecordStore
 from gingergap.store.records import (
     ALIVE,
     CALLER,
@@ -66,7 +66,7 @@
 
 def writer(folder, seed, begin, told):
     """Commits batches until it is killed; tells the number of each once it is acknowledged."""
-    book = Book(Path(folder))
+    book = RecordStore(Path(folder))
     draw = random.Random(seed)
     for number in range(begin, 1 << 40):
         book.commit(batch(draw, number))
@@ -97,7 +97,7 @@
                 applied(state, batch(again, number))
             later = dict(state)
             applied(later, batch(again, begin + acknowledged))
-            book = Book(Path(folder))
+            book = RecordStore(Path(folder))
             found = {item.key: item.body for kind in (STANDING, TOKEN) for item in book.items(kind)}
             if book.damage or book.verify() or found not in (state, later):
                 print(f"kill {kill}: {book.damage or 'not what was acknowledged'}")
@@ -149,7 +149,7 @@
     """From nothing to the first decision, with a store that has grown."""
     wall = time.time()
     with tempfile.TemporaryDirectory() as folder:
-        book = Book(Path(folder))
+        book = RecordStore(Path(folder))
         memory = Memory(3_600, callers, [1.0])
         for number in range(60):
             memory.listed(f"x{number}", Word(number, 2, wall - 900, wall - 30, f"127.0.0.1:{10_000 + number}", "UDP"))
@@ -181,7 +181,7 @@
         took = []
         for _ in range(3):
             begun = time.perf_counter()
-            book = Book(Path(folder))
+            book = RecordStore(Path(folder))
             found = recalled(
                 book.items,
                 time.time(),
@@ -213,7 +213,7 @@
             f"{min(took) * 1000:.0f} ms (of three, {max(took) * 1000:.0f} the slowest)"
         )
         begun = time.perf_counter()
-        book = Book(Path(folder))
+        book = RecordStore(Path(folder))
         gone = book.evict(CALLER, 100_000)
         print(f"eviction of {gone} callers: {time.perf_counter() - begun:.2f} s, in a thread")
         assert next(book.items(ALIVE)).body.instance == "p"
--- a/gingergap/cli/store.py
+++ b/gingergap/cli/store.py
@@ -17,11 +17,11 @@
 
 
 def _book(folder: Path) -> Any:
-    from ..store.record_store import FILE, Book
+    from ..store.record_store import FILE, RecordStore
 
     if not (folder / FILE).exists():
         fail(f"{folder}: no store there")
-    book = Book(folder)
+    book = RecordStore(folder)
     for line in book.damage:
         click.echo(f"damage: {line}")
     return book
@@ -84,10 +84,10 @@
 def import_(folder: Path, source: Path) -> None:
     """Put exported records into a store, all or none; records of the same key are replaced."""
     from ..store.export_reader import imported
-    from ..store.record_store import Book
+    from ..store.record_store import RecordStore
 
     changes = imported(source)
-    book = Book(folder)
+    book = RecordStore(folder)
     book.commit(changes)
     book.close()
     click.echo(f"{folder}: {len(changes)} records put")
--- a/gingergap/edge/remembering.py
+++ b/gingergap/edge/remembering.py
@@ -11,7 +11,7 @@
 from gevent.lock import BoundedSemaphore
 
 from ..store.proxy_state import Memory, Recalled, recalled, word_of
-from ..store.record_store import BadStoreError, Book
+from ..store.record_store import BadStoreError, RecordStore
 from ..store.records import CALLER, KeptAlive
 from .proxy import EdgeProxy
 
@@ -47,7 +47,7 @@
         self.word_lasts, self.longest_dialog, self.caller_lasts = word_lasts, longest_dialog, caller_lasts
         self.most_callers = most_callers
         self.memory = Memory(word_lasts, most_callers, worths)
-        self.book: Book | None = None
+        self.book: RecordStore | None = None
         self.boot, self.began = boot_id(), time.time()
         self.proxy: EdgeProxy | None = None
         self.clock: Callable[[], int] = lambda: 0
@@ -61,7 +61,7 @@
         """What the process before knew; none where there is no store to be had, and then there is no memory either."""
         began = time.perf_counter()
         try:
-            self.book = Book(self.folder)
+            self.book = RecordStore(self.folder)
             found = recalled(
                 self.book.items,
                 time.time(),
--- a/gingergap/store/record_store.py
+++ b/gingergap/store/record_store.py
@@ -36,7 +36,7 @@
     seen: float
 
 
-class Book:
+class RecordStore:
     """One open store. `damage` says what was lost at opening, a line each. `vfs` names the file layer, for tests."""
 
     def __init__(self, folder: Path, vfs: str | None = None) -> None:
@@ -177,7 +177,7 @@
         def __exit__(self, *_: Any) -> None:
             self.db.close()
 
-    def _new(self, path: Path) -> "Book._Copy":
+    def _new(self, path: Path) -> "RecordStore._Copy":
         db = apsw.Connection(str(path), vfs=self.vfs)
         db.execute("PRAGMA synchronous=FULL")
         self._create(db)
--- a/tests/test_edge_process.py
+++ b/tests/test_edge_process.py
@@ -195,9 +195,9 @@
 
 
 def test_a_folder_that_another_process_holds_costs_memory_and_not_calls(edge, tmp_path):
-    from gingergap.store.record_store import Book
+    from gingergap.store.record_store import RecordStore
 
-    held = Book(tmp_path / "s")
+    held = RecordStore(tmp_path / "s")
     one = edge(store={"folder": str(tmp_path / "s")}).start()
     one.standing()
     code, text = one.run("store", "state")
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -13,7 +13,7 @@
 from gingergap.sip.fields import top_via
 from gingergap.store.audit import Audit
 from gingergap.store.proxy_state import Memory, Word, age_of, recalled
-from gingergap.store.record_store import Book
+from gingergap.store.record_store import RecordStore
 from gingergap.store.records import ALIVE, CALLER, EXCHANGE, PAIR, STANDING, TOKEN, KeptAlive, KeptStanding, parts
 from gingergap.trace.replay import learned_of
 
@@ -257,7 +257,7 @@
 
 
 def filled(folder, changes):
-    book = Book(folder)
+    book = RecordStore(folder)
     book.commit(changes)
     return book
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -18,7 +18,7 @@
 from gingergap.standins.disk import FullDisk, NotedDisk, image
 from gingergap.store import record_store
 from gingergap.store.migrations import MIGRATIONS
-from gingergap.store.record_store import APPLICATION, FILE, BadStoreError, Book
+from gingergap.store.record_store import APPLICATION, FILE, BadStoreError, RecordStore
 from gingergap.store.records import (
     ALIVE,
     CALLER,
@@ -83,7 +83,7 @@
     """A sequence of batches on a noted disk: the states after each, and where each began and was acknowledged."""
     draw = random.Random(5)
     disk.ops.clear()
-    book = Book(tmp_path_factory.mktemp("noted"), vfs="noted-store")
+    book = RecordStore(tmp_path_factory.mktemp("noted"), vfs="noted-store")
     states = [{}]
     for number in range(24):
         changes = random_batch(draw, number)
@@ -106,7 +106,7 @@
     image(ops, crash, random.Random(data.draw(st.integers(0, 10**6))), folder)
     begun = sum(op.what == "mark" and op.name == "begin" for op in ops[:crash])
     acknowledged = sum(op.what == "mark" and op.name == "acknowledged" for op in ops[:crash])
-    book = Book(folder)
+    book = RecordStore(folder)
     assert book.damage == [] and book.verify() == []
     assert held(book) in states[acknowledged : begun + 1]  # every acknowledged batch, and none in part
     book.commit([Change(TOKEN, "after", KeptToken(1))])
@@ -121,7 +121,7 @@
         image(ops, crash, random.Random(crash), folder)
         begun = sum(op.what == "mark" and op.name == "begin" for op in ops[:crash])
         acknowledged = sum(op.what == "mark" and op.name == "acknowledged" for op in ops[:crash])
-        book = Book(folder)
+        book = RecordStore(folder)
         assert held(book) in states[acknowledged : begun + 1], crash
         book.close()
 
@@ -131,8 +131,8 @@
 sys.path.insert(0, {tests!r})
 from pathlib import Path
 from test_store import random_batch
-from gingergap.store.record_store import Book
-book = Book(Path({folder!r}))
+from gingergap.store.record_store import RecordStore
+book = RecordStore(Path({folder!r}))
 draw = random.Random({seed})
 for number in range(100_000):
     book.commit(random_batch(draw, number))
@@ -158,7 +158,7 @@
     again, states = random.Random(seed), [{}]
     for number in range(acknowledged + 2):
         states.append(applied(states[-1], random_batch(again, number)))
-    book = Book(tmp_path / "store")
+    book = RecordStore(tmp_path / "store")
     assert book.verify() == [] and held(book) in states[acknowledged:]
     book.close()
 
@@ -186,12 +186,12 @@
 
 def test_an_older_schema_is_upgraded_in_a_copy(tmp_path):
     old_file(tmp_path)
-    book = Book(tmp_path)
+    book = RecordStore(tmp_path)
     found = held(book)
     assert len(found) == 49 and len(book.damage) == 1 and "call7" in book.damage[0]
     assert found[STANDING, parts("call3", "ct")].leg_number == 3
     book.close()
-    again = Book(tmp_path)
+    again = RecordStore(tmp_path)
     assert held(again) == found and again.damage == []
     again.close()
     assert sorted(path.name for path in tmp_path.iterdir()) == [FILE]
@@ -207,12 +207,12 @@
 
     monkeypatch.setitem(MIGRATIONS, 1, broken)
     with pytest.raises(BadStoreError, match="can't be upgraded"):
-        Book(tmp_path)
+        RecordStore(tmp_path)
     db = sqlite3.connect(tmp_path / FILE)
     assert db.execute("PRAGMA user_version").fetchone() == (1,) and db.execute("SELECT count(*) FROM item").fetchone() == (50,)
     db.close()
     monkeypatch.undo()
-    book = Book(tmp_path)  # what the first try left beside it is no hindrance
+    book = RecordStore(tmp_path)  # what the first try left beside it is no hindrance
     assert len(held(book)) == 49
     book.close()
     assert before
@@ -230,7 +230,7 @@
     db.execute(f"CREATE TABLE item (kind, key); INSERT INTO item VALUES ('a', 'b'); {pragma}")
     db.close()
     with pytest.raises(BadStoreError, match=words) as bad:
-        Book(tmp_path)
+        RecordStore(tmp_path)
     assert FILE in str(bad.value) and "\n" not in str(bad.value)
     db = apsw.Connection(str(tmp_path / FILE))
     assert list(db.execute("SELECT * FROM item")) == [("a", "b")]
@@ -238,7 +238,7 @@
 
 
 def filled(folder, many=3_000):
-    book = Book(folder)
+    book = RecordStore(folder)
     book.commit([Change(STANDING, parts(f"call{number}", "ct"), STANDS) for number in range(many)])
     book.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
     book.close()
@@ -251,7 +251,7 @@
     key = parts("call5", "ct")
     db.execute("UPDATE item SET body = x'00' WHERE key = ?", (key,))
     db.close()
-    book = Book(tmp_path)
+    book = RecordStore(tmp_path)
     assert len(held(book)) == 19 and any("call5" in line for line in book.damage)
     assert len(book.verify()) == 1
     book.close()
@@ -265,7 +265,7 @@
         page = draw.randrange(3, len(data) // 4096)
         data[page * 4096 : (page + 1) * 4096] = draw.randbytes(4096)
     path.write_bytes(data)
-    book = Book(tmp_path)
+    book = RecordStore(tmp_path)
     found = held(book)
     assert all(body == STANDS for body in found.values()) and len(found) >= 2_700 and book.verify() == []
     book.commit([Change(TOKEN, "goes on", KeptToken(1))])
@@ -274,7 +274,7 @@
 
 def test_what_is_no_database_is_put_aside_and_the_proxy_starts_empty(tmp_path):
     (tmp_path / FILE).write_bytes(b"this is no database, but long enough to look at " * 50)
-    book = Book(tmp_path)
+    book = RecordStore(tmp_path)
     assert held(book) == {} and "damaged-1" in book.damage[0]
     book.commit([Change(TOKEN, "a", KeptToken(1))])
     book.close()
@@ -282,26 +282,26 @@
 
 
 def test_a_second_opener_is_told_so_and_the_first_goes_on(tmp_path):
-    book = Book(tmp_path)
+    book = RecordStore(tmp_path)
     with pytest.raises(BadStoreError, match="another process has it open"):
-        Book(tmp_path)
+        RecordStore(tmp_path)
     book.commit([Change(TOKEN, "a", KeptToken(1))])
     book.close()
-    Book(tmp_path).close()
+    RecordStore(tmp_path).close()
 
 
 def test_a_folder_that_is_none_is_a_line(tmp_path):
     (tmp_path / "file").write_text("x")
     for folder in (tmp_path / "file", tmp_path / "file" / "store"):
         with pytest.raises(BadStoreError) as bad:
-            Book(folder)
+            RecordStore(folder)
         assert "\n" not in str(bad.value)
 
 
 def test_a_full_disk_takes_nothing_of_a_batch_and_the_next_one_fits_again(tmp_path):
     disk = FullDisk("full-store")
     try:
-        book = Book(tmp_path, vfs="full-store")
+        book = RecordStore(tmp_path, vfs="full-store")
         book.commit([Change(TOKEN, "a", KeptToken(1))])
         before = held(book)
         disk.room = 9_000
@@ -311,7 +311,7 @@
         disk.room = 1 << 30
         book.commit([Change(TOKEN, "b", KeptToken(2))])
         book.close()
-        again = Book(tmp_path)
+        again = RecordStore(tmp_path)
         assert held(again) == {**before, (TOKEN, "b"): KeptToken(2)} and again.verify() == []
         again.close()
     finally:
@@ -319,7 +319,7 @@
 
 
 def test_the_oldest_go_first_and_compacting_gives_their_room_back(tmp_path):
-    book = Book(tmp_path)
+    book = RecordStore(tmp_path)
     book.commit(
         [Change(CALLER, parts(str(number), 0, 1), KeptCaller(float(number), 1.0), float(number)) for number in range(5_000)]
     )
@@ -360,7 +360,7 @@
 def test_the_commands(tmp_path):
     folder = tmp_path / "store"
     filled(folder, 30)
-    book = Book(folder)
+    book = RecordStore(folder)
     book.commit([Change(ALIVE, "", KeptAlive(1.0, 2.0, "b", "p0", 0.5), 1.0)])
     book.close()
     run = CliRunner().invoke
@@ -370,7 +370,7 @@
     done = run(main, ["store", "export", str(folder), "--out", str(out)])
     assert done.exit_code == 0 and len(out.read_text().splitlines()) == 32
     assert run(main, ["store", "import", str(tmp_path / "other"), "--from", str(out)]).exit_code == 0
-    books = [Book(one) for one in (folder, tmp_path / "other")]
+    books = [RecordStore(one) for one in (folder, tmp_path / "other")]
     assert held(books[0]) == held(books[1])
     for one in books:
         one.close()
