--- a/gingergap/cli/store.py
+++ b/gingergap/cli/store.py
@@ -17,9 +17,9 @@
 
 
 def _book(folder: Path) -> Any:
-    from ..store.record_store import FILE, RecordStore
+    from ..store.record_store import FILE_NAME, RecordStore
 
-    if not (folder / FILE).exists():
+    if not (folder / FILE_NAME).exists():
         fail(f"{folder}: no store there")
     book = RecordStore(folder)
     for line in book.damage:
--- a/gingergap/store/record_store.py
+++ b/gingergap/store/record_store.py
@@ -17,7 +17,7 @@
 from .records import SCHEMA, BadRecordError, Change, packed, unpacked
 
 APPLICATION = 0x67696E67
-FILE = "memory.db"
+FILE_NAME = "memory.db"
 TABLE = (
     "CREATE TABLE item (kind TEXT NOT NULL, key TEXT NOT NULL, body BLOB NOT NULL, checksum INTEGER NOT NULL, "
     "seen REAL NOT NULL, PRIMARY KEY (kind, key)) WITHOUT ROWID"
@@ -42,7 +42,7 @@
     def __init__(self, folder: Path, vfs: str | None = None) -> None:
         """Raises BadStoreError."""
         self.folder, self.vfs = folder, vfs
-        self.path = folder / FILE
+        self.path = folder / FILE_NAME
         self.damage: list[str] = []
         try:
             folder.mkdir(parents=True, exist_ok=True)
@@ -318,7 +318,7 @@
         return before, self.size()
 
     def size(self) -> int:
-        return sum(path.stat().st_size for path in (self.path, self.path.with_name(FILE + "-wal")) if path.exists())
+        return sum(path.stat().st_size for path in (self.path, self.path.with_name(FILE_NAME + "-wal")) if path.exists())
 
     def close(self) -> None:
         self.db.close()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -18,7 +18,7 @@
 from gingergap.standins.disk import FullDisk, NotedDisk, image
 from gingergap.store import record_store
 from gingergap.store.migrations import MIGRATIONS
-from gingergap.store.record_store import APPLICATION, FILE, BadStoreError, RecordStore
+from gingergap.store.record_store import APPLICATION, FILE_NAME, BadStoreError, RecordStore
 from gingergap.store.records import (
     ALIVE,
     CALLER,
@@ -169,7 +169,7 @@
 def old_file(folder, schema=1):
     """A store as the first schema wrote it: without the leg's number, without times."""
     folder.mkdir(exist_ok=True)
-    db = apsw.Connection(str(folder / FILE))
+    db = apsw.Connection(str(folder / FILE_NAME))
     db.execute(
         "CREATE TABLE item (kind TEXT NOT NULL, key TEXT NOT NULL, body BLOB NOT NULL, checksum INTEGER NOT NULL, "
         f"PRIMARY KEY (kind, key)) WITHOUT ROWID; PRAGMA application_id={APPLICATION}; PRAGMA user_version={schema}"
@@ -194,12 +194,12 @@
     again = RecordStore(tmp_path)
     assert held(again) == found and again.damage == []
     again.close()
-    assert sorted(path.name for path in tmp_path.iterdir()) == [FILE]
+    assert sorted(path.name for path in tmp_path.iterdir()) == [FILE_NAME]
 
 
 def test_an_upgrade_that_breaks_off_leaves_the_old_file_as_it_was(tmp_path, monkeypatch):
     old_file(tmp_path)
-    before = (tmp_path / FILE).read_bytes()
+    before = (tmp_path / FILE_NAME).read_bytes()
 
     def broken(rows):
         yield from list(rows)[:10]
@@ -208,7 +208,7 @@
     monkeypatch.setitem(MIGRATIONS, 1, broken)
     with pytest.raises(BadStoreError, match="can't be upgraded"):
         RecordStore(tmp_path)
-    db = sqlite3.connect(tmp_path / FILE)
+    db = sqlite3.connect(tmp_path / FILE_NAME)
     assert db.execute("PRAGMA user_version").fetchone() == (1,) and db.execute("SELECT count(*) FROM item").fetchone() == (50,)
     db.close()
     monkeypatch.undo()
@@ -226,13 +226,13 @@
     ],
 )
 def test_a_newer_or_foreign_file_is_left_alone_and_named(tmp_path, pragma, words):
-    db = apsw.Connection(str(tmp_path / FILE))
+    db = apsw.Connection(str(tmp_path / FILE_NAME))
     db.execute(f"CREATE TABLE item (kind, key); INSERT INTO item VALUES ('a', 'b'); {pragma}")
     db.close()
     with pytest.raises(BadStoreError, match=words) as bad:
         RecordStore(tmp_path)
-    assert FILE in str(bad.value) and "\n" not in str(bad.value)
-    db = apsw.Connection(str(tmp_path / FILE))
+    assert FILE_NAME in str(bad.value) and "\n" not in str(bad.value)
+    db = apsw.Connection(str(tmp_path / FILE_NAME))
     assert list(db.execute("SELECT * FROM item")) == [("a", "b")]
     db.close()
 
@@ -242,12 +242,12 @@
     book.commit([Change(STANDING, parts(f"call{number}", "ct"), STANDS) for number in range(many)])
     book.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
     book.close()
-    return folder / FILE
+    return folder / FILE_NAME
 
 
 def test_a_corrupt_record_loses_itself_alone(tmp_path):
     filled(tmp_path, 20)
-    db = apsw.Connection(str(tmp_path / FILE))
+    db = apsw.Connection(str(tmp_path / FILE_NAME))
     key = parts("call5", "ct")
     db.execute("UPDATE item SET body = x'00' WHERE key = ?", (key,))
     db.close()
@@ -273,12 +273,12 @@
 
 
 def test_what_is_no_database_is_put_aside_and_the_proxy_starts_empty(tmp_path):
-    (tmp_path / FILE).write_bytes(b"this is no database, but long enough to look at " * 50)
+    (tmp_path / FILE_NAME).write_bytes(b"this is no database, but long enough to look at " * 50)
     book = RecordStore(tmp_path)
     assert held(book) == {} and "damaged-1" in book.damage[0]
     book.commit([Change(TOKEN, "a", KeptToken(1))])
     book.close()
-    assert (tmp_path / f"{FILE}.damaged-1").read_bytes().startswith(b"this is no database")
+    assert (tmp_path / f"{FILE_NAME}.damaged-1").read_bytes().startswith(b"this is no database")
 
 
 def test_a_second_opener_is_told_so_and_the_first_goes_on(tmp_path):
@@ -375,7 +375,7 @@
     for one in books:
         one.close()
     assert run(main, ["store", "compact", str(folder)]).exit_code == 0
-    db = apsw.Connection(str(folder / FILE))
+    db = apsw.Connection(str(folder / FILE_NAME))
     db.execute("UPDATE item SET checksum = checksum + 1 WHERE key = ?", (parts("call5", "ct"),))
     db.close()
     done = run(main, ["store", "verify", str(folder)])
@@ -438,4 +438,4 @@
         seen.add(folder["a"])
     assert b"x" * 600 in seen and b"y" * 2000 in seen and b"y" * 100 in seen and b"x" * 100 in seen
     assert any(0 < one.count(b"y") < 2000 and one.count(b"y") % 512 == 0 for one in seen)  # torn
-    assert record_store.FILE == FILE
+    assert record_store.FILE_NAME == FILE_NAME
