--- a/gingergap/cli/store.py
+++ b/gingergap/cli/store.py
@@ -33,12 +33,12 @@
     """How many records of each kind, how large, when last written."""
     import time
 
-    from ..store.records import ALIVE, SCHEMA
+    from ..store.records import ALIVE, SCHEMA_VERSION
     from .tables import rows
 
     book = _book(folder)
     alive = next((item.body for item in book.items(ALIVE)), None)
-    rows(f"schema {SCHEMA}, {book.size()} bytes", [{"kind": kind, "records": many} for kind, many in book.counts().items()])
+    rows(f"schema {SCHEMA_VERSION}, {book.size()} bytes", [{"kind": kind, "records": many} for kind, many in book.counts().items()])
     if alive is not None:
         click.echo(f"written by {alive.instance}, last {time.time() - alive.wall:.1f} s ago by the wall clock")
     book.close()
@@ -64,12 +64,12 @@
     """Write all records as JSON lines: to look at, to keep, to move to another machine."""
     import msgspec
 
-    from ..store.records import FORMS, SCHEMA
+    from ..store.records import FORMS, SCHEMA_VERSION
 
     book = _book(folder)
     many = 0
     with out.open("xb") as file:
-        file.write(msgspec.json.encode({"gingergap store": SCHEMA}) + b"\n")
+        file.write(msgspec.json.encode({"gingergap store": SCHEMA_VERSION}) + b"\n")
         for kind in FORMS:
             for item in book.items(kind):
                 file.write(msgspec.json.encode({"kind": kind, "key": item.key, "seen": item.seen, "body": item.body}) + b"\n")
--- a/gingergap/store/export_reader.py
+++ b/gingergap/store/export_reader.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from .records import FORMS, SCHEMA, BadRecordError, Change
+from .records import FORMS, SCHEMA_VERSION, BadRecordError, Change
 
 
 class Line(msgspec.Struct, forbid_unknown_fields=True):
@@ -22,8 +22,8 @@
             schema = msgspec.json.decode(file.readline())["gingergap store"]
         except (msgspec.MsgspecError, KeyError, TypeError):
             raise BadRecordError(f"{path}: no exported store") from None
-        if schema != SCHEMA:
-            raise BadRecordError(f"{path}: schema {schema}, this program reads {SCHEMA}")
+        if schema != SCHEMA_VERSION:
+            raise BadRecordError(f"{path}: schema {schema}, this program reads {SCHEMA_VERSION}")
         for number, text in enumerate(file, 2):
             try:
                 line = msgspec.json.decode(text, type=Line)
--- a/gingergap/store/record_store.py
+++ b/gingergap/store/record_store.py
@@ -14,7 +14,7 @@
 import apsw
 
 from .migrations import MIGRATIONS
-from .records import SCHEMA, BadRecordError, Change, packed, unpacked
+from .records import SCHEMA_VERSION, BadRecordError, Change, packed, unpacked
 
 APPLICATION = 0x67696E67
 FILE_NAME = "memory.db"
@@ -93,15 +93,15 @@
             self._create(self.db)
         elif application != APPLICATION:
             raise BadStoreError(f"{self.path}: no store of this program")
-        elif version > SCHEMA:
-            raise BadStoreError(f"{self.path}: schema {version} is newer than {SCHEMA}, which this program reads")
-        elif version < SCHEMA:
+        elif version > SCHEMA_VERSION:
+            raise BadStoreError(f"{self.path}: schema {version} is newer than {SCHEMA_VERSION}, which this program reads")
+        elif version < SCHEMA_VERSION:
             self._upgrade(version)
 
     @staticmethod
     def _create(db: apsw.Connection) -> None:
         with db:
-            db.execute(f"{TABLE}; {INDEX}; PRAGMA application_id={APPLICATION}; PRAGMA user_version={SCHEMA}")
+            db.execute(f"{TABLE}; {INDEX}; PRAGMA application_id={APPLICATION}; PRAGMA user_version={SCHEMA_VERSION}")
 
     def _upgrade(self, version: int) -> None:
         """In a copy, step by step; the copy takes the file's place once it is whole and on the disk."""
@@ -110,7 +110,7 @@
         try:
             with self._new(aside) as copy:
                 rows = ((kind, key, body, check, seen) for kind, key, body, check, seen in self._rows(self.db, self._columns()))
-                for step in range(version, SCHEMA):
+                for step in range(version, SCHEMA_VERSION):
                     rows = MIGRATIONS[step](rows)
                 self._fill(copy, rows)
         except (apsw.Error, KeyError) as error:
--- a/gingergap/store/records.py
+++ b/gingergap/store/records.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-SCHEMA = 2
+SCHEMA_VERSION = 2
 EXCHANGE, PAIR, CALLER, FIGURES, STANDING, TOKEN, ALIVE = "exchange", "pair", "caller", "figures", "standing", "token", "alive"
 
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -24,7 +24,7 @@
     CALLER,
     ENCODER,
     FORMS,
-    SCHEMA,
+    SCHEMA_VERSION,
     STANDING,
     TOKEN,
     BadRecordError,
@@ -221,7 +221,7 @@
 @pytest.mark.parametrize(
     ("pragma", "words"),
     [
-        (f"PRAGMA application_id={APPLICATION}; PRAGMA user_version={SCHEMA + 1}", "newer"),
+        (f"PRAGMA application_id={APPLICATION}; PRAGMA user_version={SCHEMA_VERSION + 1}", "newer"),
         ("PRAGMA application_id=77", "no store of this program"),
     ],
 )
