--- a/gingergap/cli/store.py
+++ b/gingergap/cli/store.py
@@ -64,13 +64,13 @@
     """Write all records as JSON lines: to look at, to keep, to move to another machine."""
     import msgspec
 
-    from ..store.records import FORMS, SCHEMA_VERSION
+    from ..store.records import RECORD_TYPES, SCHEMA_VERSION
 
     book = _book(folder)
     many = 0
     with out.open("xb") as file:
         file.write(msgspec.json.encode({"gingergap store": SCHEMA_VERSION}) + b"\n")
-        for kind in FORMS:
+        for kind in RECORD_TYPES:
             for item in book.items(kind):
                 file.write(msgspec.json.encode({"kind": kind, "key": item.key, "seen": item.seen, "body": item.body}) + b"\n")
                 many += 1
--- a/gingergap/store/export_reader.py
+++ b/gingergap/store/export_reader.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from .records import FORMS, SCHEMA_VERSION, BadRecordError, Change
+from .records import RECORD_TYPES, SCHEMA_VERSION, BadRecordError, Change
 
 
 class Line(msgspec.Struct, forbid_unknown_fields=True):
@@ -27,9 +27,9 @@
         for number, text in enumerate(file, 2):
             try:
                 line = msgspec.json.decode(text, type=Line)
-                if line.kind not in FORMS:
+                if line.kind not in RECORD_TYPES:
                     raise BadRecordError(f"{path}: line {number}: kind {line.kind!r} is unknown")
-                body = msgspec.json.decode(line.body, type=FORMS[line.kind])
+                body = msgspec.json.decode(line.body, type=RECORD_TYPES[line.kind])
             except msgspec.MsgspecError as error:
                 raise BadRecordError(f"{path}: line {number}: {error}") from None
             changes.append(Change(line.kind, line.key, body, line.seen))
--- a/gingergap/store/records.py
+++ b/gingergap/store/records.py
@@ -89,7 +89,7 @@
     started: float
 
 
-FORMS: dict[str, Any] = {
+RECORD_TYPES: dict[str, Any] = {
     EXCHANGE: KeptExchange,
     PAIR: KeptPair,
     CALLER: KeptCaller,
@@ -99,7 +99,7 @@
     ALIVE: KeptAlive,
 }
 ENCODER = msgspec.msgpack.Encoder()
-DECODERS = {kind: msgspec.msgpack.Decoder(form) for kind, form in FORMS.items()}
+DECODERS = {kind: msgspec.msgpack.Decoder(form) for kind, form in RECORD_TYPES.items()}
 
 
 class Change(NamedTuple):
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -23,7 +23,7 @@
     ALIVE,
     CALLER,
     ENCODER,
-    FORMS,
+    RECORD_TYPES,
     SCHEMA_VERSION,
     STANDING,
     TOKEN,
@@ -45,7 +45,7 @@
 
 def held(book):
     """All records of a book."""
-    return {(item.kind, item.key): item.body for kind in FORMS for item in book.items(kind)}
+    return {(item.kind, item.key): item.body for kind in RECORD_TYPES for item in book.items(kind)}
 
 
 def applied(state, changes):
@@ -333,7 +333,7 @@
 
 
 def test_records_are_what_they_were_or_told_to_be_corrupt():
-    for kind, form in FORMS.items():
+    for kind, form in RECORD_TYPES.items():
         assert kind and form
     data, check = packed(TOKEN, "a", KeptToken(5))
     assert unpacked(TOKEN, "a", data, check) == KeptToken(5)
