--- a/gingergap/store/proxy_state.py
+++ b/gingergap/store/proxy_state.py
@@ -21,9 +21,9 @@
     TOKEN,
     BadRecordError,
     Change,
+    ExchangeRecord,
     KeptAlive,
     KeptCaller,
-    KeptExchange,
     KeptFigures,
     KeptPair,
     KeptStanding,
@@ -49,7 +49,7 @@
     transport: str
 
 
-def word_of(body: KeptExchange) -> Word:
+def word_of(body: ExchangeRecord) -> Word:
     return Word(body.number, body.state, body.started, body.word_at, body.address, body.transport)
 
 
@@ -147,7 +147,7 @@
     # --- how ---
 
     def _exchange(self, id_: str, word: Word, known: KnownExchange | None) -> None:
-        body = KeptExchange(word.number, word.state, word.started, word.at, word.address, word.transport)
+        body = ExchangeRecord(word.number, word.state, word.started, word.at, word.address, word.transport)
         if known is not None:
             body.quickest, body.took, body.took_ago = known.fastest_setup, known.recent_setup, _coarse(known.recent_setup_age)
             body.pressed_for, body.size = known.overloaded_for, known.size
--- a/gingergap/store/records.py
+++ b/gingergap/store/records.py
@@ -17,7 +17,7 @@
     """A record that can't be used; one plain line."""
 
 
-class KeptExchange(msgspec.Struct):
+class ExchangeRecord(msgspec.Struct):
     """An exchange: the list's last word on it (`state` as in host.py, `started` wall time, 0 long ago, `word_at` when it
     was told), where it is, and what was learned of its processor and of the own group to it."""
 
@@ -90,7 +90,7 @@
 
 
 RECORD_TYPES: dict[str, Any] = {
-    EXCHANGE: KeptExchange,
+    EXCHANGE: ExchangeRecord,
     PAIR: KeptPair,
     CALLER: KeptCaller,
     FIGURES: KeptFigures,
