--- a/gingergap/store/proxy_state.py
+++ b/gingergap/store/proxy_state.py
@@ -25,9 +25,9 @@
     KeptAlive,
     KeptCaller,
     KeptFigures,
-    KeptPair,
     KeptStanding,
     KeptToken,
+    TandemRecord,
     fields_of,
     parts,
 )
@@ -110,7 +110,7 @@
                 self._exchange(id_, word, known)
         pairs = {parts(ids[pair.gw], pair.destination): pair for pair in told.pairs}
         for key, pair in pairs.items():
-            self._put(PAIR, key, KeptPair(_coarse(pair.remaining), pair.duration), wall)
+            self._put(PAIR, key, TandemRecord(_coarse(pair.remaining), pair.duration), wall)
         for kind, key in list(self.kept):
             if kind == PAIR and key not in pairs:
                 self._take(PAIR, key)
--- a/gingergap/store/records.py
+++ b/gingergap/store/records.py
@@ -37,7 +37,7 @@
     lower_below: float = 0.0
 
 
-class KeptPair(msgspec.Struct):
+class TandemRecord(msgspec.Struct):
     """A tandem (by its id) and a destination: for how much longer it is passed over, and the span; 0 and 0: it carries."""
 
     left: int
@@ -91,7 +91,7 @@
 
 RECORD_TYPES: dict[str, Any] = {
     EXCHANGE: ExchangeRecord,
-    PAIR: KeptPair,
+    PAIR: TandemRecord,
     CALLER: KeptCaller,
     FIGURES: KeptFigures,
     STANDING: KeptStanding,
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -362,14 +362,14 @@
 
 
 def test_records_that_make_no_sense_are_passed_over_and_told(tmp_path):
-    from gingergap.store.records import Change, KeptPair
+    from gingergap.store.records import Change, TandemRecord
 
     book = filled(
         tmp_path,
         [
             Change(STANDING, "no key", KeptStanding(0, 1, 1, "x", 1, 5.0, False, "t")),
-            Change(PAIR, parts("x1", "odd"), KeptPair(1, 2)),
-            Change(PAIR, "[1]", KeptPair(1, 2)),
+            Change(PAIR, parts("x1", "odd"), TandemRecord(1, 2)),
+            Change(PAIR, "[1]", TandemRecord(1, 2)),
             Change(ALIVE, "", alive()),
         ],
     )
