--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -34,9 +34,9 @@
     CALLER,
     STANDING,
     TOKEN,
+    CallerRecord,
     Change,
     KeptAlive,
-    KeptCaller,
     KeptStanding,
     KeptToken,
     parts,
@@ -170,7 +170,7 @@
                     Change(
                         CALLER,
                         parts(f"27{number:09d}", 0, number % 60),
-                        KeptCaller(wall - 2 - number * 0.05, 1.0),
+                        CallerRecord(wall - 2 - number * 0.05, 1.0),
                         wall - 2 - number * 0.05,
                     )
                     for number in range(begun, begun + 100_000)
--- a/gingergap/store/proxy_state.py
+++ b/gingergap/store/proxy_state.py
@@ -20,10 +20,10 @@
     STANDING,
     TOKEN,
     BadRecordError,
+    CallerRecord,
     Change,
     ExchangeRecord,
     KeptAlive,
-    KeptCaller,
     KeptFigures,
     KeptStanding,
     KeptToken,
@@ -120,7 +120,7 @@
             if key not in self.callers:
                 worth = self.worths[caller.traffic_type] if caller.traffic_type < len(self.worths) else 1.0
                 first = wall - caller.first_tried_ago / UNIT
-                self.pending[CALLER, key] = Change(CALLER, key, KeptCaller(first, worth), first + WORTH_SECONDS * worth)
+                self.pending[CALLER, key] = Change(CALLER, key, CallerRecord(first, worth), first + WORTH_SECONDS * worth)
         for key in self.callers - callers.keys():
             self.pending[CALLER, key] = Change(CALLER, key, None)
         self.callers = set(callers)
--- a/gingergap/store/records.py
+++ b/gingergap/store/records.py
@@ -44,7 +44,7 @@
     span: int
 
 
-class KeptCaller(msgspec.Struct):
+class CallerRecord(msgspec.Struct):
     """A caller not served: the wall time of its first try, and what its traffic type is worth."""
 
     first: float
@@ -92,7 +92,7 @@
 RECORD_TYPES: dict[str, Any] = {
     EXCHANGE: ExchangeRecord,
     PAIR: TandemRecord,
-    CALLER: KeptCaller,
+    CALLER: CallerRecord,
     FIGURES: KeptFigures,
     STANDING: KeptStanding,
     TOKEN: KeptToken,
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -28,9 +28,9 @@
     STANDING,
     TOKEN,
     BadRecordError,
+    CallerRecord,
     Change,
     KeptAlive,
-    KeptCaller,
     KeptStanding,
     KeptToken,
     checksum,
@@ -321,7 +321,7 @@
 def test_the_oldest_go_first_and_compacting_gives_their_room_back(tmp_path):
     book = RecordStore(tmp_path)
     book.commit(
-        [Change(CALLER, parts(str(number), 0, 1), KeptCaller(float(number), 1.0), float(number)) for number in range(5_000)]
+        [Change(CALLER, parts(str(number), 0, 1), CallerRecord(float(number), 1.0), float(number)) for number in range(5_000)]
     )
     assert book.evict(CALLER, 5_000) == 0 and book.evict(CALLER, 100) == 4_900
     left = sorted(float(fields_of(item.key, 3)[0]) for item in book.items(CALLER))
