--- a/gingergap/store/proxy_state.py
+++ b/gingergap/store/proxy_state.py
@@ -24,9 +24,9 @@
     Change,
     ExchangeRecord,
     KeptAlive,
-    KeptFigures,
     KeptStanding,
     KeptToken,
+    RatesRecord,
     TandemRecord,
     fields_of,
     parts,
@@ -114,7 +114,7 @@
         for kind, key in list(self.kept):
             if kind == PAIR and key not in pairs:
                 self._take(PAIR, key)
-        self._put(FIGURES, "", KeptFigures(round(told.best_setup_rate, 1), round(told.average_setup)), wall)
+        self._put(FIGURES, "", RatesRecord(round(told.best_setup_rate, 1), round(told.average_setup)), wall)
         callers = {parts(caller.caller_number, caller.traffic_type, caller.destination): caller for caller in told.callers}
         for key, caller in callers.items():
             if key not in self.callers:
@@ -241,7 +241,7 @@
             ago = round((wall - item.body.first) * UNIT) - age
             if 0 <= ago + age <= caller_lasts * UNIT:
                 callers.append(KnownCaller(str(number), int(kind), int(far), max(0, ago)))
-    figures = next((item.body for item in items(FIGURES)), KeptFigures(0.0, 0.0))
+    figures = next((item.body for item in items(FIGURES)), RatesRecord(0.0, 0.0))
     standing = {}
     for item in items(STANDING):
         try:
--- a/gingergap/store/records.py
+++ b/gingergap/store/records.py
@@ -51,7 +51,7 @@
     worth: float
 
 
-class KeptFigures(msgspec.Struct):
+class RatesRecord(msgspec.Struct):
     """Rates of the module, as it has them."""
 
     best_rate: float
@@ -93,7 +93,7 @@
     EXCHANGE: ExchangeRecord,
     PAIR: TandemRecord,
     CALLER: CallerRecord,
-    FIGURES: KeptFigures,
+    FIGURES: RatesRecord,
     STANDING: KeptStanding,
     TOKEN: KeptToken,
     ALIVE: KeptAlive,
