--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -36,8 +36,8 @@
     TOKEN,
     CallerRecord,
     Change,
+    DialogRecord,
     KeptAlive,
-    KeptStanding,
     KeptToken,
     parts,
 )
@@ -51,7 +51,7 @@
         if draw.random() < 0.4:
             changes.append(Change(STANDING, key, None))
         else:
-            changes.append(Change(STANDING, key, KeptStanding(0, 1, number, "x1", 1, float(number), False, f"t{number}")))
+            changes.append(Change(STANDING, key, DialogRecord(0, 1, number, "x1", 1, float(number), False, f"t{number}")))
     changes.append(Change(TOKEN, "duty", KeptToken(number)))
     return changes
 
@@ -159,7 +159,7 @@
                 Change(
                     STANDING,
                     parts(f"call{number}", "ct"),
-                    KeptStanding(0, 1, number % 60, f"x{number % 60}", number % 60, wall - 30, False, "t"),
+                    DialogRecord(0, 1, number % 60, f"x{number % 60}", number % 60, wall - 30, False, "t"),
                 )
                 for number in range(10_000)
             ]
--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -20,7 +20,7 @@
 from ..sip.transactions import MAGIC, Client, Hop, Lost, Server, Transactions, Wire
 from ..store.audit import Audit
 from ..store.proxy_state import Memory, Recalled, Word
-from ..store.records import KeptStanding
+from ..store.records import DialogRecord
 from ..trace.stored_names import stored_arguments
 from ..trace.tape import Tape, answer_to, crossing, recorded
 from . import words
@@ -537,7 +537,7 @@
             if self.memory is not None:
                 self.memory.stood(
                     *call.key,
-                    KeptStanding(
+                    DialogRecord(
                         call.kind, call.width, call.far, self.ids[leg.gw], leg.far, self._wall(call.arrived), call.transit, tag
                     ),
                 )
@@ -859,7 +859,7 @@
         for (call_id, tag), kept in recalled.standing.items():
             self._stands_still(now, (call_id, tag), kept)
 
-    def _stands_still(self, now: int, key: tuple[str, str], kept: KeptStanding) -> None:
+    def _stands_still(self, now: int, key: tuple[str, str], kept: DialogRecord) -> None:
         """A dialog that stood before this process began: its requests find their way by their routes; here is known that
         it stands, over which group, and since when."""
         arrived = self.started_at + int((kept.since - self.wall_at_start) * SECOND)
--- a/gingergap/store/proxy_state.py
+++ b/gingergap/store/proxy_state.py
@@ -22,9 +22,9 @@
     BadRecordError,
     CallerRecord,
     Change,
+    DialogRecord,
     ExchangeRecord,
     KeptAlive,
-    KeptStanding,
     KeptToken,
     RatesRecord,
     TandemRecord,
@@ -62,7 +62,7 @@
     learned: Learned
     ids: list[str]
     starts: dict[str, float]
-    standing: dict[tuple[str, str], KeptStanding]
+    standing: dict[tuple[str, str], DialogRecord]
     tokens: dict[str, int]
 
 
@@ -79,7 +79,7 @@
 
     # --- what can happen ---
 
-    def stood(self, call_id: str, tag: str, standing: KeptStanding) -> None:
+    def stood(self, call_id: str, tag: str, standing: DialogRecord) -> None:
         key = parts(call_id, tag)
         self.pending[STANDING, key] = Change(STANDING, key, standing, standing.since)
 
--- a/gingergap/store/records.py
+++ b/gingergap/store/records.py
@@ -58,7 +58,7 @@
     pace: float
 
 
-class KeptStanding(msgspec.Struct):
+class DialogRecord(msgspec.Struct):
     """A dialog that stands: traffic type, circuits, the exchange it goes to, that of its leg (id and number), since when,
     and until when it is remembered at the longest. Its route is in its requests; its tags tell which dialog they are of."""
 
@@ -94,7 +94,7 @@
     PAIR: TandemRecord,
     CALLER: CallerRecord,
     FIGURES: RatesRecord,
-    STANDING: KeptStanding,
+    STANDING: DialogRecord,
     TOKEN: KeptToken,
     ALIVE: KeptAlive,
 }
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -14,7 +14,7 @@
 from gingergap.store.audit import Audit
 from gingergap.store.proxy_state import Memory, Word, age_of, recalled
 from gingergap.store.record_store import RecordStore
-from gingergap.store.records import ALIVE, CALLER, EXCHANGE, PAIR, STANDING, TOKEN, KeptAlive, KeptStanding, parts
+from gingergap.store.records import ALIVE, CALLER, EXCHANGE, PAIR, STANDING, TOKEN, DialogRecord, KeptAlive, parts
 from gingergap.trace.replay import learned_of
 
 MINUTE = 60 * SECOND
@@ -286,7 +286,7 @@
 
 def test_a_batch_that_was_not_written_is_written_with_what_came_since():
     memory = Memory(3_600, 100, [1.0])
-    standing = KeptStanding(0, 1, 1, "x1", 1, 5.0, False, "t")
+    standing = DialogRecord(0, 1, 1, "x1", 1, 5.0, False, "t")
     memory.stood("a", "ct", standing)
     memory.stood("b", "ct", standing)
     lost = memory.batch(alive())
@@ -331,13 +331,13 @@
         memory.listed(id_, Word(place, 2, 990.0 if place == 2 else 0.0, 995.0, f"127.0.0.1:{7100 + place}", "TCP"))
     told_now = old.export_learned(now, 100)
     memory.learned(1_000.0, told_now, IDS)
-    memory.stood("call", "ct", KeptStanding(1, 2, 3, "x3", 3, 990.0, True, "tt"))
+    memory.stood("call", "ct", DialogRecord(1, 2, 3, "x3", 3, 990.0, True, "tt"))
     memory.token("probe x1", 17)
     book = filled(tmp_path, memory.batch(alive()))
     found = read(book, 1_002.0, 52.0)
     assert found.age == 20_000 and found.tokens == {"probe x1": 17} and found.starts["x2"] == 990.0
     assert found.words["x2"] == Word(2, 2, 990.0, 995.0, "127.0.0.1:7102", "TCP")
-    assert found.standing == {("call", "ct"): KeptStanding(1, 2, 3, "x3", 3, 990.0, True, "tt")}
+    assert found.standing == {("call", "ct"): DialogRecord(1, 2, 3, "x3", 3, 990.0, True, "tt")}
     by_id = {found.ids[one.gw]: one for one in found.learned.exchanges}
     for known in told_now.exchanges:
         kept = by_id[IDS[known.gw]]
@@ -367,7 +367,7 @@
     book = filled(
         tmp_path,
         [
-            Change(STANDING, "no key", KeptStanding(0, 1, 1, "x", 1, 5.0, False, "t")),
+            Change(STANDING, "no key", DialogRecord(0, 1, 1, "x", 1, 5.0, False, "t")),
             Change(PAIR, parts("x1", "odd"), TandemRecord(1, 2)),
             Change(PAIR, "[1]", TandemRecord(1, 2)),
             Change(ALIVE, "", alive()),
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -30,8 +30,8 @@
     BadRecordError,
     CallerRecord,
     Change,
+    DialogRecord,
     KeptAlive,
-    KeptStanding,
     KeptToken,
     checksum,
     fields_of,
@@ -40,7 +40,7 @@
     unpacked,
 )
 
-STANDS = KeptStanding(0, 1, 2, "x2", 2, 1_000.0, False, "tag")
+STANDS = DialogRecord(0, 1, 2, "x2", 2, 1_000.0, False, "tag")
 
 
 def held(book):
