--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -38,7 +38,7 @@
     Change,
     DialogRecord,
     KeptAlive,
-    KeptToken,
+    TokenRecord,
     parts,
 )
 
@@ -52,7 +52,7 @@
             changes.append(Change(STANDING, key, None))
         else:
             changes.append(Change(STANDING, key, DialogRecord(0, 1, number, "x1", 1, float(number), False, f"t{number}")))
-    changes.append(Change(TOKEN, "duty", KeptToken(number)))
+    changes.append(Change(TOKEN, "duty", TokenRecord(number)))
     return changes
 
 
--- a/gingergap/store/proxy_state.py
+++ b/gingergap/store/proxy_state.py
@@ -25,9 +25,9 @@
     DialogRecord,
     ExchangeRecord,
     KeptAlive,
-    KeptToken,
     RatesRecord,
     TandemRecord,
+    TokenRecord,
     fields_of,
     parts,
 )
@@ -99,7 +99,7 @@
 
     def token(self, duty: str, counter: int) -> None:
         """A counter was heard of for a duty."""
-        self._put(TOKEN, duty, KeptToken(counter), 0.0)
+        self._put(TOKEN, duty, TokenRecord(counter), 0.0)
 
     def learned(self, wall: float, told: Learned, ids: list[str]) -> None:
         """What the module knows now; `ids` by gw."""
--- a/gingergap/store/records.py
+++ b/gingergap/store/records.py
@@ -72,7 +72,7 @@
     to_tag: str
 
 
-class KeptToken(msgspec.Struct):
+class TokenRecord(msgspec.Struct):
     """The highest counter heard of for a duty."""
 
     counter: int
@@ -95,7 +95,7 @@
     CALLER: CallerRecord,
     FIGURES: RatesRecord,
     STANDING: DialogRecord,
-    TOKEN: KeptToken,
+    TOKEN: TokenRecord,
     ALIVE: KeptAlive,
 }
 ENCODER = msgspec.msgpack.Encoder()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -32,7 +32,7 @@
     Change,
     DialogRecord,
     KeptAlive,
-    KeptToken,
+    TokenRecord,
     checksum,
     fields_of,
     packed,
@@ -67,7 +67,7 @@
         elif draw.random() < 0.5:
             changes.append(Change(STANDING, key, STANDS.__class__(0, 1, number, "x" * draw.randrange(300), 2, 1.0, False, "t")))
         else:
-            changes.append(Change(TOKEN, key, KeptToken(number)))
+            changes.append(Change(TOKEN, key, TokenRecord(number)))
     return changes
 
 
@@ -109,7 +109,7 @@
     book = RecordStore(folder)
     assert book.damage == [] and book.verify() == []
     assert held(book) in states[acknowledged : begun + 1]  # every acknowledged batch, and none in part
-    book.commit([Change(TOKEN, "after", KeptToken(1))])
+    book.commit([Change(TOKEN, "after", TokenRecord(1))])
     book.close()
 
 
@@ -268,7 +268,7 @@
     book = RecordStore(tmp_path)
     found = held(book)
     assert all(body == STANDS for body in found.values()) and len(found) >= 2_700 and book.verify() == []
-    book.commit([Change(TOKEN, "goes on", KeptToken(1))])
+    book.commit([Change(TOKEN, "goes on", TokenRecord(1))])
     book.close()
 
 
@@ -276,7 +276,7 @@
     (tmp_path / FILE_NAME).write_bytes(b"this is no database, but long enough to look at " * 50)
     book = RecordStore(tmp_path)
     assert held(book) == {} and "damaged-1" in book.damage[0]
-    book.commit([Change(TOKEN, "a", KeptToken(1))])
+    book.commit([Change(TOKEN, "a", TokenRecord(1))])
     book.close()
     assert (tmp_path / f"{FILE_NAME}.damaged-1").read_bytes().startswith(b"this is no database")
 
@@ -285,7 +285,7 @@
     book = RecordStore(tmp_path)
     with pytest.raises(BadStoreError, match="another process has it open"):
         RecordStore(tmp_path)
-    book.commit([Change(TOKEN, "a", KeptToken(1))])
+    book.commit([Change(TOKEN, "a", TokenRecord(1))])
     book.close()
     RecordStore(tmp_path).close()
 
@@ -302,17 +302,17 @@
     disk = FullDisk("full-store")
     try:
         book = RecordStore(tmp_path, vfs="full-store")
-        book.commit([Change(TOKEN, "a", KeptToken(1))])
+        book.commit([Change(TOKEN, "a", TokenRecord(1))])
         before = held(book)
         disk.room = 9_000
         with pytest.raises(BadStoreError, match="the disk is full"):
             book.commit([Change(STANDING, parts(f"call{number}", "ct"), STANDS) for number in range(500)])
         assert held(book) == before
         disk.room = 1 << 30
-        book.commit([Change(TOKEN, "b", KeptToken(2))])
+        book.commit([Change(TOKEN, "b", TokenRecord(2))])
         book.close()
         again = RecordStore(tmp_path)
-        assert held(again) == {**before, (TOKEN, "b"): KeptToken(2)} and again.verify() == []
+        assert held(again) == {**before, (TOKEN, "b"): TokenRecord(2)} and again.verify() == []
         again.close()
     finally:
         disk.unregister()
@@ -335,8 +335,8 @@
 def test_records_are_what_they_were_or_told_to_be_corrupt():
     for kind, form in RECORD_TYPES.items():
         assert kind and form
-    data, check = packed(TOKEN, "a", KeptToken(5))
-    assert unpacked(TOKEN, "a", data, check) == KeptToken(5)
+    data, check = packed(TOKEN, "a", TokenRecord(5))
+    assert unpacked(TOKEN, "a", data, check) == TokenRecord(5)
     for wrong in (
         (TOKEN, "b", data, check),
         (STANDING, "a", data, check),
