--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -37,7 +37,7 @@
     CallerRecord,
     Change,
     DialogRecord,
-    KeptAlive,
+    HeartbeatRecord,
     TokenRecord,
     parts,
 )
@@ -153,7 +153,7 @@
         memory = Memory(3_600, callers, [1.0])
         for number in range(60):
             memory.listed(f"x{number}", Word(number, 2, wall - 900, wall - 30, f"127.0.0.1:{10_000 + number}", "UDP"))
-        book.commit(memory.batch(KeptAlive(wall - 2, time.monotonic() - 2, "b", "p", wall)))
+        book.commit(memory.batch(HeartbeatRecord(wall - 2, time.monotonic() - 2, "b", "p", wall)))
         book.commit(
             [
                 Change(
--- a/gingergap/edge/remembering.py
+++ b/gingergap/edge/remembering.py
@@ -12,7 +12,7 @@
 
 from ..store.proxy_state import Memory, Recalled, recalled, word_of
 from ..store.record_store import BadStoreError, RecordStore
-from ..store.records import CALLER, KeptAlive
+from ..store.records import CALLER, HeartbeatRecord
 from .proxy import EdgeProxy
 
 UNIT = 10_000
@@ -129,7 +129,7 @@
     def write(self) -> bool:
         """Everything that has changed, as one batch; whether it is on the disk."""
         with self.one_at_a_time:
-            alive = KeptAlive(time.time(), time.monotonic(), self.boot, self.instance, self.began)
+            alive = HeartbeatRecord(time.time(), time.monotonic(), self.boot, self.instance, self.began)
             changes = self.memory.batch(alive)
             try:
                 self.written += self.apart(self.book.commit, changes)
--- a/gingergap/store/proxy_state.py
+++ b/gingergap/store/proxy_state.py
@@ -24,7 +24,7 @@
     Change,
     DialogRecord,
     ExchangeRecord,
-    KeptAlive,
+    HeartbeatRecord,
     RatesRecord,
     TandemRecord,
     TokenRecord,
@@ -132,7 +132,7 @@
                 del self.words[id_]
                 self._take(EXCHANGE, id_)
 
-    def batch(self, alive: KeptAlive) -> list[Change]:
+    def batch(self, alive: HeartbeatRecord) -> list[Change]:
         """All that is to be written now, the sign of life last."""
         changes = list(self.pending.values())
         self.pending.clear()
@@ -170,7 +170,7 @@
     return span - span % 1000
 
 
-def age_of(alive: KeptAlive | None, wall: float, monotonic: float, boot: str) -> int:
+def age_of(alive: HeartbeatRecord | None, wall: float, monotonic: float, boot: str) -> int:
     """How long ago the process last wrote, in tenths of a millisecond; -1 where no clock can say."""
     if alive is None:
         return UNKNOWN
--- a/gingergap/store/records.py
+++ b/gingergap/store/records.py
@@ -78,7 +78,7 @@
     counter: int
 
 
-class KeptAlive(msgspec.Struct):
+class HeartbeatRecord(msgspec.Struct):
     """When the process last wrote, by the wall clock and by the machine's since its boot, and in which boot: where the
     boot is the same, how long ago is known whatever became of the wall clock."""
 
@@ -96,7 +96,7 @@
     FIGURES: RatesRecord,
     STANDING: DialogRecord,
     TOKEN: TokenRecord,
-    ALIVE: KeptAlive,
+    ALIVE: HeartbeatRecord,
 }
 ENCODER = msgspec.msgpack.Encoder()
 DECODERS = {kind: msgspec.msgpack.Decoder(form) for kind, form in RECORD_TYPES.items()}
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -14,7 +14,7 @@
 from gingergap.store.audit import Audit
 from gingergap.store.proxy_state import Memory, Word, age_of, recalled
 from gingergap.store.record_store import RecordStore
-from gingergap.store.records import ALIVE, CALLER, EXCHANGE, PAIR, STANDING, TOKEN, DialogRecord, KeptAlive, parts
+from gingergap.store.records import ALIVE, CALLER, EXCHANGE, PAIR, STANDING, TOKEN, DialogRecord, HeartbeatRecord, parts
 from gingergap.trace.replay import learned_of
 
 MINUTE = 60 * SECOND
@@ -253,7 +253,7 @@
 
 
 def alive(wall=1_000.0, monotonic=50.0, boot="b"):
-    return KeptAlive(wall, monotonic, boot, "p0", 0.0)
+    return HeartbeatRecord(wall, monotonic, boot, "p0", 0.0)
 
 
 def filled(folder, changes):
@@ -438,7 +438,7 @@
         """Another proxy, `after` seconds later, with what this one had written."""
         wall = 1_000_000.0 + self.now / SECOND
         self.proxy.learned(self.now, 100)
-        book = filled(self.folder, self.memory.batch(KeptAlive(wall, self.now / SECOND, "b", "p0", 0.0)))
+        book = filled(self.folder, self.memory.batch(HeartbeatRecord(wall, self.now / SECOND, "b", "p0", 0.0)))
         found = read(book, wall + after, self.now / SECOND + after)
         book.close()
         return Restarted(self.folder, found, self.now + int(after * SECOND), wall + after)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -31,7 +31,7 @@
     CallerRecord,
     Change,
     DialogRecord,
-    KeptAlive,
+    HeartbeatRecord,
     TokenRecord,
     checksum,
     fields_of,
@@ -361,7 +361,7 @@
     folder = tmp_path / "store"
     filled(folder, 30)
     book = RecordStore(folder)
-    book.commit([Change(ALIVE, "", KeptAlive(1.0, 2.0, "b", "p0", 0.5), 1.0)])
+    book.commit([Change(ALIVE, "", HeartbeatRecord(1.0, 2.0, "b", "p0", 0.5), 1.0)])
     book.close()
     run = CliRunner().invoke
     assert "standing" in run(main, ["store", "info", str(folder)]).output
