--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -39,7 +39,7 @@
     DialogRecord,
     HeartbeatRecord,
     TokenRecord,
-    parts,
+    encode_key,
 )
 
 
@@ -47,7 +47,7 @@
     """Dialogs that begin to stand or end, and counters."""
     changes = []
     for _ in range(draw.randrange(1, 20)):
-        key = parts(f"call{draw.randrange(400)}", "ct")
+        key = encode_key(f"call{draw.randrange(400)}", "ct")
         if draw.random() < 0.4:
             changes.append(Change(STANDING, key, None))
         else:
@@ -158,7 +158,7 @@
             [
                 Change(
                     STANDING,
-                    parts(f"call{number}", "ct"),
+                    encode_key(f"call{number}", "ct"),
                     DialogRecord(0, 1, number % 60, f"x{number % 60}", number % 60, wall - 30, False, "t"),
                 )
                 for number in range(10_000)
@@ -169,7 +169,7 @@
                 [
                     Change(
                         CALLER,
-                        parts(f"27{number:09d}", 0, number % 60),
+                        encode_key(f"27{number:09d}", 0, number % 60),
                         CallerRecord(wall - 2 - number * 0.05, 1.0),
                         wall - 2 - number * 0.05,
                     )
--- a/gingergap/store/proxy_state.py
+++ b/gingergap/store/proxy_state.py
@@ -28,8 +28,8 @@
     RatesRecord,
     TandemRecord,
     TokenRecord,
-    fields_of,
-    parts,
+    decode_key,
+    encode_key,
 )
 
 UNIT = 10_000  # tenths of a millisecond in a second
@@ -80,12 +80,12 @@
     # --- what can happen ---
 
     def stood(self, call_id: str, tag: str, standing: DialogRecord) -> None:
-        key = parts(call_id, tag)
+        key = encode_key(call_id, tag)
         self.pending[STANDING, key] = Change(STANDING, key, standing, standing.since)
 
     def over(self, call_id: str, tag: str) -> None:
         """A dialog that stood is over; one whose record was never written leaves none."""
-        key = parts(call_id, tag)
+        key = encode_key(call_id, tag)
         self.pending[STANDING, key] = Change(STANDING, key, None)
 
     def known(self, id_: str, number: int, address: str, transport: str) -> None:
@@ -108,14 +108,14 @@
             word = self.words.get(id_)
             if word is not None:
                 self._exchange(id_, word, known)
-        pairs = {parts(ids[pair.gw], pair.destination): pair for pair in told.pairs}
+        pairs = {encode_key(ids[pair.gw], pair.destination): pair for pair in told.pairs}
         for key, pair in pairs.items():
             self._put(PAIR, key, TandemRecord(_coarse(pair.remaining), pair.duration), wall)
         for kind, key in list(self.kept):
             if kind == PAIR and key not in pairs:
                 self._take(PAIR, key)
         self._put(FIGURES, "", RatesRecord(round(told.best_setup_rate, 1), round(told.average_setup)), wall)
-        callers = {parts(caller.caller_number, caller.traffic_type, caller.destination): caller for caller in told.callers}
+        callers = {encode_key(caller.caller_number, caller.traffic_type, caller.destination): caller for caller in told.callers}
         for key, caller in callers.items():
             if key not in self.callers:
                 worth = self.worths[caller.traffic_type] if caller.traffic_type < len(self.worths) else 1.0
@@ -226,7 +226,7 @@
     pairs = []
     for item in items(PAIR):
         try:
-            id_, destination = fields_of(item.key, 2)
+            id_, destination = decode_key(item.key, 2)
             pairs.append(KnownPair(place(id_), int(destination), item.body.left, item.body.span))
         except (BadRecordError, ValueError, TypeError) as bad:
             damage.append(str(bad))
@@ -234,7 +234,7 @@
     if age >= 0:
         for item in items(CALLER, wall - caller_lasts):
             try:
-                number, kind, far = fields_of(item.key, 3)
+                number, kind, far = decode_key(item.key, 3)
             except BadRecordError as bad:
                 damage.append(str(bad))
                 continue
@@ -245,7 +245,7 @@
     standing = {}
     for item in items(STANDING):
         try:
-            call_id, tag = fields_of(item.key, 2)
+            call_id, tag = decode_key(item.key, 2)
         except BadRecordError as bad:
             damage.append(str(bad))
             continue
--- a/gingergap/store/records.py
+++ b/gingergap/store/records.py
@@ -133,12 +133,12 @@
         raise BadRecordError(f"{kind} {key!r}: {error}") from None
 
 
-def parts(*fields: Any) -> str:
+def encode_key(*fields: Any) -> str:
     """Several fields as one key."""
     return msgspec.json.encode(list(fields)).decode()
 
 
-def fields_of(key: str, many: int) -> list[Any]:
+def decode_key(key: str, many: int) -> list[Any]:
     """And back. Raises BadRecordError."""
     try:
         found = msgspec.json.decode(key, type=list)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -14,7 +14,7 @@
 from gingergap.store.audit import Audit
 from gingergap.store.proxy_state import Memory, Word, age_of, recalled
 from gingergap.store.record_store import RecordStore
-from gingergap.store.records import ALIVE, CALLER, EXCHANGE, PAIR, STANDING, TOKEN, DialogRecord, HeartbeatRecord, parts
+from gingergap.store.records import ALIVE, CALLER, EXCHANGE, PAIR, STANDING, TOKEN, DialogRecord, HeartbeatRecord, encode_key
 from gingergap.trace.replay import learned_of
 
 MINUTE = 60 * SECOND
@@ -293,7 +293,7 @@
     memory.over("a", "ct")
     memory.not_written(lost)
     again = {change.key: change.body for change in memory.batch(alive()) if change.kind == STANDING}
-    assert again == {parts("a", "ct"): None, parts("b", "ct"): standing}
+    assert again == {encode_key("a", "ct"): None, encode_key("b", "ct"): standing}
 
 
 def test_words_on_machines_long_gone_leave_the_book():
@@ -368,7 +368,7 @@
         tmp_path,
         [
             Change(STANDING, "no key", DialogRecord(0, 1, 1, "x", 1, 5.0, False, "t")),
-            Change(PAIR, parts("x1", "odd"), TandemRecord(1, 2)),
+            Change(PAIR, encode_key("x1", "odd"), TandemRecord(1, 2)),
             Change(PAIR, "[1]", TandemRecord(1, 2)),
             Change(ALIVE, "", alive()),
         ],
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -34,9 +34,9 @@
     HeartbeatRecord,
     TokenRecord,
     checksum,
-    fields_of,
+    decode_key,
+    encode_key,
     packed,
-    parts,
     unpacked,
 )
 
@@ -178,7 +178,7 @@
         body = ENCODER.encode(
             {"kind": 0, "width": 1, "far": number, "leg": "x1", "since": 5.0, "transit": False, "to_tag": f"t{number}"}
         )
-        key = parts(f"call{number}", "ct")
+        key = encode_key(f"call{number}", "ct")
         check = checksum(STANDING, key, body) + (number == 7)
         db.execute("INSERT INTO item VALUES (?, ?, ?, ?)", (STANDING, key, body, check))
     db.close()
@@ -189,7 +189,7 @@
     book = RecordStore(tmp_path)
     found = held(book)
     assert len(found) == 49 and len(book.damage) == 1 and "call7" in book.damage[0]
-    assert found[STANDING, parts("call3", "ct")].leg_number == 3
+    assert found[STANDING, encode_key("call3", "ct")].leg_number == 3
     book.close()
     again = RecordStore(tmp_path)
     assert held(again) == found and again.damage == []
@@ -239,7 +239,7 @@
 
 def filled(folder, many=3_000):
     book = RecordStore(folder)
-    book.commit([Change(STANDING, parts(f"call{number}", "ct"), STANDS) for number in range(many)])
+    book.commit([Change(STANDING, encode_key(f"call{number}", "ct"), STANDS) for number in range(many)])
     book.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
     book.close()
     return folder / FILE_NAME
@@ -248,7 +248,7 @@
 def test_a_corrupt_record_loses_itself_alone(tmp_path):
     filled(tmp_path, 20)
     db = apsw.Connection(str(tmp_path / FILE_NAME))
-    key = parts("call5", "ct")
+    key = encode_key("call5", "ct")
     db.execute("UPDATE item SET body = x'00' WHERE key = ?", (key,))
     db.close()
     book = RecordStore(tmp_path)
@@ -306,7 +306,7 @@
         before = held(book)
         disk.room = 9_000
         with pytest.raises(BadStoreError, match="the disk is full"):
-            book.commit([Change(STANDING, parts(f"call{number}", "ct"), STANDS) for number in range(500)])
+            book.commit([Change(STANDING, encode_key(f"call{number}", "ct"), STANDS) for number in range(500)])
         assert held(book) == before
         disk.room = 1 << 30
         book.commit([Change(TOKEN, "b", TokenRecord(2))])
@@ -321,10 +321,10 @@
 def test_the_oldest_go_first_and_compacting_gives_their_room_back(tmp_path):
     book = RecordStore(tmp_path)
     book.commit(
-        [Change(CALLER, parts(str(number), 0, 1), CallerRecord(float(number), 1.0), float(number)) for number in range(5_000)]
+        [Change(CALLER, encode_key(str(number), 0, 1), CallerRecord(float(number), 1.0), float(number)) for number in range(5_000)]
     )
     assert book.evict(CALLER, 5_000) == 0 and book.evict(CALLER, 100) == 4_900
-    left = sorted(float(fields_of(item.key, 3)[0]) for item in book.items(CALLER))
+    left = sorted(float(decode_key(item.key, 3)[0]) for item in book.items(CALLER))
     assert left == [float(number) for number in range(4_900, 5_000)]
     assert len(list(book.items(CALLER, since=4_990.0))) == 10
     before, after = book.compact()
@@ -349,9 +349,9 @@
     junk = b"\xff\xff"
     with pytest.raises(BadRecordError):
         unpacked(TOKEN, "a", junk, checksum(TOKEN, "a", junk))
-    assert fields_of(parts('a"b', 1), 2) == ['a"b', 1]
+    assert decode_key(encode_key('a"b', 1), 2) == ['a"b', 1]
     with pytest.raises(BadRecordError):
-        fields_of("[1", 1)
+        decode_key("[1", 1)
 
 
 # --- the commands ---
@@ -376,7 +376,7 @@
         one.close()
     assert run(main, ["store", "compact", str(folder)]).exit_code == 0
     db = apsw.Connection(str(folder / FILE_NAME))
-    db.execute("UPDATE item SET checksum = checksum + 1 WHERE key = ?", (parts("call5", "ct"),))
+    db.execute("UPDATE item SET checksum = checksum + 1 WHERE key = ?", (encode_key("call5", "ct"),))
     db.close()
     done = run(main, ["store", "verify", str(folder)])
     assert done.exit_code == 1 and "call5" in done.output and "1 faults" in done.output
