--- a/gingergap/cli/store.py
+++ b/gingergap/cli/store.py
@@ -83,10 +83,10 @@
 @click.option("--from", "source", type=click.Path(path_type=Path), required=True, help="A file that `store export` wrote.")
 def import_(folder: Path, source: Path) -> None:
     """Put exported records into a store, all or none; records of the same key are replaced."""
-    from ..store.export_reader import imported
+    from ..store.export_reader import read_export
     from ..store.record_store import RecordStore
 
-    changes = imported(source)
+    changes = read_export(source)
     book = RecordStore(folder)
     book.commit(changes)
     book.close()
--- a/gingergap/store/export_reader.py
+++ b/gingergap/store/export_reader.py
@@ -14,7 +14,7 @@
     body: msgspec.Raw
 
 
-def imported(path: Path) -> list[Change]:
+def read_export(path: Path) -> list[Change]:
     """Raises BadRecordError naming the line and why, OSError where the file can't be read."""
     changes = []
     with path.open("rb") as file:
