--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -27,7 +27,7 @@
 from gingergap.sip.message import parse as parse_sip
 from gingergap.sip.transactions import Hop
 from gingergap.standins.player import form, free_ports
-from gingergap.store.proxy_state import Memory, Word, recalled
+from gingergap.store.proxy_state import StateRecorder, Word, recalled
 from gingergap.store.record_store import RecordStore
 from gingergap.store.records import (
     ALIVE,
@@ -150,7 +150,7 @@
     wall = time.time()
     with tempfile.TemporaryDirectory() as folder:
         book = RecordStore(Path(folder))
-        memory = Memory(3_600, callers, [1.0])
+        memory = StateRecorder(3_600, callers, [1.0])
         for number in range(60):
             memory.listed(f"x{number}", Word(number, 2, wall - 900, wall - 30, f"127.0.0.1:{10_000 + number}", "UDP"))
         book.commit(memory.batch(HeartbeatRecord(wall - 2, time.monotonic() - 2, "b", "p", wall)))
@@ -200,7 +200,7 @@
                 time.time(),
                 lambda size: "f" * size,
                 None,
-                Memory(3_600, callers, [1.0]),
+                StateRecorder(3_600, callers, [1.0]),
                 found,
             )
             proxy.got(clock(), parse_sip(INVITE), Hop("UDP", "127.0.0.1", 9000))
--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -19,7 +19,7 @@
 from ..sip.message import BadMessageError, Message, response
 from ..sip.transactions import MAGIC, Client, Hop, Lost, Server, Transactions, Wire
 from ..store.audit import Audit
-from ..store.proxy_state import Memory, Recalled, Word
+from ..store.proxy_state import Recalled, StateRecorder, Word
 from ..store.records import DialogRecord
 from ..trace.stored_names import stored_arguments
 from ..trace.tape import Tape, answer_to, crossing, recorded
@@ -123,7 +123,7 @@
         multiple: float,
         fall_span: int,
         tape: Tape | None = None,
-        memory: Memory | None = None,
+        memory: StateRecorder | None = None,
         recalled: Recalled | None = None,
     ) -> None:
         self.wire, self.log, self.fresh = wire, log, fresh
--- a/gingergap/edge/remembering.py
+++ b/gingergap/edge/remembering.py
@@ -10,7 +10,7 @@
 
 from gevent.lock import BoundedSemaphore
 
-from ..store.proxy_state import Memory, Recalled, recalled, word_of
+from ..store.proxy_state import Recalled, StateRecorder, recalled, word_of
 from ..store.record_store import BadStoreError, RecordStore
 from ..store.records import CALLER, HeartbeatRecord
 from .proxy import EdgeProxy
@@ -46,7 +46,7 @@
         self.folder, self.instance, self.log, self.apart = folder, instance, log, apart
         self.word_lasts, self.longest_dialog, self.caller_lasts = word_lasts, longest_dialog, caller_lasts
         self.most_callers = most_callers
-        self.memory = Memory(word_lasts, most_callers, worths)
+        self.memory = StateRecorder(word_lasts, most_callers, worths)
         self.book: RecordStore | None = None
         self.boot, self.began = boot_id(), time.time()
         self.proxy: EdgeProxy | None = None
--- a/gingergap/edge/serve.py
+++ b/gingergap/edge/serve.py
@@ -15,7 +15,7 @@
 from ..sip.fields import host_port
 from ..sip.message import BadMessageError, Message
 from ..sip.transactions import Hop
-from ..store.proxy_state import Memory, Recalled
+from ..store.proxy_state import Recalled, StateRecorder
 from ..trace.format import FORMAT, Header, Source
 from ..trace.live import LiveStories
 from ..trace.recorder import Recorder, keep_budget
@@ -50,7 +50,7 @@
     wall: float,
     fresh: Any,
     tape: Tape | None = None,
-    memory: Memory | None = None,
+    memory: StateRecorder | None = None,
     recalled: Recalled | None = None,
 ) -> EdgeProxy:
     """The proxy that a settings file describes."""
--- a/gingergap/store/proxy_state.py
+++ b/gingergap/store/proxy_state.py
@@ -66,7 +66,7 @@
     tokens: dict[str, int]
 
 
-class Memory:
+class StateRecorder:
     """One running proxy's. `word_lasts` in seconds: the list's word on an exchange counts for so long at a start.
     `worths` are the importances of the traffic types."""
 
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -12,7 +12,7 @@
 from gingergap.host import GwState, KnownCaller, KnownExchange, KnownPair, Learned, LegEnd, ListEntry, Rsn
 from gingergap.sip.fields import top_via
 from gingergap.store.audit import Audit
-from gingergap.store.proxy_state import Memory, Word, age_of, recalled
+from gingergap.store.proxy_state import StateRecorder, Word, age_of, recalled
 from gingergap.store.record_store import RecordStore
 from gingergap.store.records import ALIVE, CALLER, EXCHANGE, PAIR, STANDING, TOKEN, DialogRecord, HeartbeatRecord, encode_key
 from gingergap.trace.replay import learned_of
@@ -269,7 +269,7 @@
 
 def test_only_what_differs_is_written_again():
     old, now = worked()
-    memory = Memory(3_600, 100, [1.0, 3.0])
+    memory = StateRecorder(3_600, 100, [1.0, 3.0])
     for place, id_ in enumerate(IDS):
         memory.listed(id_, Word(place, 2, 0.0, 990.0, f"127.0.0.1:{7100 + place}", "UDP"))
     memory.learned(1_000.0, old.export_learned(now, 100), IDS)
@@ -285,7 +285,7 @@
 
 
 def test_a_batch_that_was_not_written_is_written_with_what_came_since():
-    memory = Memory(3_600, 100, [1.0])
+    memory = StateRecorder(3_600, 100, [1.0])
     standing = DialogRecord(0, 1, 1, "x1", 1, 5.0, False, "t")
     memory.stood("a", "ct", standing)
     memory.stood("b", "ct", standing)
@@ -297,7 +297,7 @@
 
 
 def test_words_on_machines_long_gone_leave_the_book():
-    memory = Memory(100, 100, [1.0])
+    memory = StateRecorder(100, 100, [1.0])
     memory.listed("x1r2", Word(1, int(GwState.GONE), 5.0, 1_000.0, "127.0.0.1:1", "UDP"))
     memory.listed("x1r3", Word(1, int(GwState.READY), 6.0, 1_000.0, "127.0.0.1:1", "UDP"))
     memory.batch(alive())
@@ -326,7 +326,7 @@
 
 def test_what_is_kept_comes_back_as_it_was(tmp_path):
     old, now = worked()
-    memory = Memory(3_600, 100, [1.0, 3.0])
+    memory = StateRecorder(3_600, 100, [1.0, 3.0])
     for place, id_ in enumerate(IDS):
         memory.listed(id_, Word(place, 2, 990.0 if place == 2 else 0.0, 995.0, f"127.0.0.1:{7100 + place}", "TCP"))
     told_now = old.export_learned(now, 100)
@@ -418,7 +418,7 @@
     def __init__(self, folder, found=None, now=0, wall=1_000_000.0):
         import conftest
 
-        self.memory = Memory(3_600, 100, [1.0, 3.0])
+        self.memory = StateRecorder(3_600, 100, [1.0, 3.0])
         self.folder = folder
         made = []
 
@@ -563,7 +563,7 @@
     assert not granted and newest == 17
     granted, _ = keeper.handle_vote_request(10**6, "probe x1", FencingToken(19, "p1/1"), 100, -1)
     assert granted
-    memory = Memory(3_600, 100, [1.0])
+    memory = StateRecorder(3_600, 100, [1.0])
     for duty, counter in keeper.counters().items():
         memory.token(duty, counter)
     book = filled(tmp_path, memory.batch(alive()))
