--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -19,7 +19,7 @@
 from ..sip.message import BadMessageError, Message, response
 from ..sip.transactions import MAGIC, Client, Hop, Lost, Server, Transactions, Wire
 from ..store.audit import Audit
-from ..store.proxy_state import Recalled, StateRecorder, Word
+from ..store.proxy_state import RestoredState, StateRecorder, Word
 from ..store.records import DialogRecord
 from ..trace.stored_names import stored_arguments
 from ..trace.tape import Tape, answer_to, crossing, recorded
@@ -124,7 +124,7 @@
         fall_span: int,
         tape: Tape | None = None,
         memory: StateRecorder | None = None,
-        recalled: Recalled | None = None,
+        recalled: RestoredState | None = None,
     ) -> None:
         self.wire, self.log, self.fresh = wire, log, fresh
         self.address, self.domain, self.here = address, domain, here
@@ -831,7 +831,7 @@
 
     # --- memory over restarts --------------------------------------------------------------------------------
 
-    def _recall(self, now: int, recalled: Recalled) -> None:
+    def _recall(self, now: int, recalled: RestoredState) -> None:
         """What the process before this one knew: the list's words, what was learned, the dialogs that stand."""
         entries = []
         for id_, word in recalled.words.items():
--- a/gingergap/edge/remembering.py
+++ b/gingergap/edge/remembering.py
@@ -10,7 +10,7 @@
 
 from gevent.lock import BoundedSemaphore
 
-from ..store.proxy_state import Recalled, StateRecorder, recalled, word_of
+from ..store.proxy_state import RestoredState, StateRecorder, recalled, word_of
 from ..store.record_store import BadStoreError, RecordStore
 from ..store.records import CALLER, HeartbeatRecord
 from .proxy import EdgeProxy
@@ -57,7 +57,7 @@
         self.troubled = False
         self.read_ms = 0.0
 
-    def open(self) -> Recalled | None:
+    def open(self) -> RestoredState | None:
         """What the process before knew; none where there is no store to be had, and then there is no memory either."""
         began = time.perf_counter()
         try:
@@ -90,7 +90,7 @@
         self._carry_on(found)
         return found
 
-    def _carry_on(self, found: Recalled) -> None:
+    def _carry_on(self, found: RestoredState) -> None:
         """What is in the book is known to be: it is compared with, and taken out when it is over."""
         self.memory.words.update(found.words)
         for item in self.book.items("exchange"):
--- a/gingergap/edge/serve.py
+++ b/gingergap/edge/serve.py
@@ -15,7 +15,7 @@
 from ..sip.fields import host_port
 from ..sip.message import BadMessageError, Message
 from ..sip.transactions import Hop
-from ..store.proxy_state import Recalled, StateRecorder
+from ..store.proxy_state import RestoredState, StateRecorder
 from ..trace.format import FORMAT, Header, Source
 from ..trace.live import LiveStories
 from ..trace.recorder import Recorder, keep_budget
@@ -51,7 +51,7 @@
     fresh: Any,
     tape: Tape | None = None,
     memory: StateRecorder | None = None,
-    recalled: Recalled | None = None,
+    recalled: RestoredState | None = None,
 ) -> EdgeProxy:
     """The proxy that a settings file describes."""
     types = [
@@ -186,7 +186,7 @@
         self.log.info("ended", **{key.replace(" ", "_"): value for key, value in self.proxy.counts.items()})
         return 0
 
-    def _open_store(self) -> Recalled | None:
+    def _open_store(self) -> RestoredState | None:
         form = self.form.store
         if form is None:
             return None
--- a/gingergap/store/proxy_state.py
+++ b/gingergap/store/proxy_state.py
@@ -53,7 +53,7 @@
     return Word(body.number, body.state, body.started, body.word_at, body.address, body.transport)
 
 
-class Recalled(NamedTuple):
+class RestoredState(NamedTuple):
     """What a start goes by. `age` in tenths of a millisecond, -1 unknown; `words` and `learned` name exchanges by id:
     `ids` gives the id for each gw in `learned`. `starts` are exchanges' starts as kept, wall time."""
 
@@ -190,7 +190,7 @@
     longest_dialog: float,
     caller_lasts: float,
     damage: list[str],
-) -> Recalled:
+) -> RestoredState:
     """What the records of a book come to at a start. `items(kind, since)` gives records with key, body and seen."""
     alive = next((item.body for item in items(ALIVE)), None)
     age = age_of(alive, wall, monotonic, boot)
@@ -253,4 +253,4 @@
             standing[call_id, tag] = item.body
     tokens = {item.key: item.body.counter for item in items(TOKEN)}
     learned = Learned(0, exchanges, pairs, callers, figures.best_rate, figures.pace)
-    return Recalled(age, words, learned, ids, starts, standing, tokens)
+    return RestoredState(age, words, learned, ids, starts, standing, tokens)
