--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -27,7 +27,7 @@
 from gingergap.sip.message import parse as parse_sip
 from gingergap.sip.transactions import Hop
 from gingergap.standins.player import form, free_ports
-from gingergap.store.proxy_state import StateRecorder, Word, recalled
+from gingergap.store.proxy_state import StateRecorder, Word, restore_state
 from gingergap.store.record_store import RecordStore
 from gingergap.store.records import (
     ALIVE,
@@ -182,7 +182,7 @@
         for _ in range(3):
             begun = time.perf_counter()
             book = RecordStore(Path(folder))
-            found = recalled(
+            found = restore_state(
                 book.items,
                 time.time(),
                 time.monotonic(),
--- a/gingergap/edge/remembering.py
+++ b/gingergap/edge/remembering.py
@@ -10,7 +10,7 @@
 
 from gevent.lock import BoundedSemaphore
 
-from ..store.proxy_state import RestoredState, StateRecorder, recalled, word_of
+from ..store.proxy_state import RestoredState, StateRecorder, restore_state, word_of
 from ..store.record_store import BadStoreError, RecordStore
 from ..store.records import CALLER, HeartbeatRecord
 from .proxy import EdgeProxy
@@ -62,7 +62,7 @@
         began = time.perf_counter()
         try:
             self.book = RecordStore(self.folder)
-            found = recalled(
+            found = restore_state(
                 self.book.items,
                 time.time(),
                 time.monotonic(),
--- a/gingergap/store/proxy_state.py
+++ b/gingergap/store/proxy_state.py
@@ -180,7 +180,7 @@
     return round(passed * UNIT) if 0 <= passed <= OLDEST else UNKNOWN
 
 
-def recalled(
+def restore_state(
     items: Callable[..., Iterable[Any]],
     wall: float,
     monotonic: float,
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -12,7 +12,7 @@
 from gingergap.host import GwState, KnownCaller, KnownExchange, KnownPair, Learned, LegEnd, ListEntry, Rsn
 from gingergap.sip.fields import top_via
 from gingergap.store.audit import Audit
-from gingergap.store.proxy_state import StateRecorder, Word, age_of, recalled
+from gingergap.store.proxy_state import StateRecorder, Word, age_of, restore_state
 from gingergap.store.record_store import RecordStore
 from gingergap.store.records import ALIVE, CALLER, EXCHANGE, PAIR, STANDING, TOKEN, DialogRecord, HeartbeatRecord, encode_key
 from gingergap.trace.replay import learned_of
@@ -264,7 +264,7 @@
 
 def read(book, wall, monotonic=50.0, boot="b", **more):
     figures = {"word_lasts": 3_600.0, "longest_dialog": 14_400.0, "caller_lasts": 9.0, "damage": [], **more}
-    return recalled(book.items, wall, monotonic, boot, **figures)
+    return restore_state(book.items, wall, monotonic, boot, **figures)
 
 
 def test_only_what_differs_is_written_again():
