--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -27,7 +27,7 @@
 from gingergap.sip.message import parse as parse_sip
 from gingergap.sip.transactions import Hop
 from gingergap.standins.player import form, free_ports
-from gingergap.store.proxy_state import StateRecorder, Word, restore_state
+from gingergap.store.proxy_state import ListedExchange, StateRecorder, restore_state
 from gingergap.store.record_store import RecordStore
 from gingergap.store.records import (
     ALIVE,
@@ -152,7 +152,7 @@
         book = RecordStore(Path(folder))
         memory = StateRecorder(3_600, callers, [1.0])
         for number in range(60):
-            memory.listed(f"x{number}", Word(number, 2, wall - 900, wall - 30, f"127.0.0.1:{10_000 + number}", "UDP"))
+            memory.listed(f"x{number}", ListedExchange(number, 2, wall - 900, wall - 30, f"127.0.0.1:{10_000 + number}", "UDP"))
         book.commit(memory.batch(HeartbeatRecord(wall - 2, time.monotonic() - 2, "b", "p", wall)))
         book.commit(
             [
--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -19,7 +19,7 @@
 from ..sip.message import BadMessageError, Message, response
 from ..sip.transactions import MAGIC, Client, Hop, Lost, Server, Transactions, Wire
 from ..store.audit import Audit
-from ..store.proxy_state import RestoredState, StateRecorder, Word
+from ..store.proxy_state import ListedExchange, RestoredState, StateRecorder
 from ..store.records import DialogRecord
 from ..trace.stored_names import stored_arguments
 from ..trace.tape import Tape, answer_to, crossing, recorded
@@ -776,7 +776,7 @@
             if self.memory is not None:
                 self.memory.listed(
                     line.id,
-                    Word(
+                    ListedExchange(
                         line.number,
                         int(state),
                         line.started,
--- a/gingergap/edge/remembering.py
+++ b/gingergap/edge/remembering.py
@@ -10,7 +10,7 @@
 
 from gevent.lock import BoundedSemaphore
 
-from ..store.proxy_state import RestoredState, StateRecorder, restore_state, word_of
+from ..store.proxy_state import RestoredState, StateRecorder, listed_exchange, restore_state
 from ..store.record_store import BadStoreError, RecordStore
 from ..store.records import CALLER, HeartbeatRecord
 from .proxy import EdgeProxy
@@ -94,7 +94,7 @@
         """What is in the book is known to be: it is compared with, and taken out when it is over."""
         self.memory.words.update(found.words)
         for item in self.book.items("exchange"):
-            self.memory.words.setdefault(item.key, word_of(item.body))
+            self.memory.words.setdefault(item.key, listed_exchange(item.body))
         for item in self.book.items("pair"):
             self.memory.kept["pair", item.key] = b""
 
--- a/gingergap/store/proxy_state.py
+++ b/gingergap/store/proxy_state.py
@@ -38,7 +38,7 @@
 WORTH_SECONDS = 10.0  # a caller's unit of importance keeps its record so much longer
 
 
-class Word(NamedTuple):
+class ListedExchange(NamedTuple):
     """What the list last told of an exchange. `started` and `at` are wall times, `address` host:port."""
 
     number: int
@@ -49,8 +49,8 @@
     transport: str
 
 
-def word_of(body: ExchangeRecord) -> Word:
-    return Word(body.number, body.state, body.started, body.word_at, body.address, body.transport)
+def listed_exchange(body: ExchangeRecord) -> ListedExchange:
+    return ListedExchange(body.number, body.state, body.started, body.word_at, body.address, body.transport)
 
 
 class RestoredState(NamedTuple):
@@ -58,7 +58,7 @@
     `ids` gives the id for each gw in `learned`. `starts` are exchanges' starts as kept, wall time."""
 
     age: int
-    words: dict[str, Word]
+    words: dict[str, ListedExchange]
     learned: Learned
     ids: list[str]
     starts: dict[str, float]
@@ -74,7 +74,7 @@
         self.word_lasts, self.most_callers, self.worths = word_lasts, most_callers, worths
         self.kept: dict[tuple[str, str], bytes] = {}  # what the book holds, as far as it is compared
         self.pending: dict[tuple[str, str], Change] = {}
-        self.words: dict[str, Word] = {}
+        self.words: dict[str, ListedExchange] = {}
         self.callers: set[str] = set()
 
     # --- what can happen ---
@@ -90,9 +90,9 @@
 
     def known(self, id_: str, number: int, address: str, transport: str) -> None:
         """An exchange of the settings, of which the list has told nothing."""
-        self.words.setdefault(id_, Word(number, GwState.READY, 0.0, 0.0, address, transport))
+        self.words.setdefault(id_, ListedExchange(number, GwState.READY, 0.0, 0.0, address, transport))
 
-    def listed(self, id_: str, word: Word) -> None:
+    def listed(self, id_: str, word: ListedExchange) -> None:
         """The list told of an exchange: written with what is known of it."""
         self.words[id_] = word
         self._exchange(id_, word, None)
@@ -146,7 +146,7 @@
 
     # --- how ---
 
-    def _exchange(self, id_: str, word: Word, known: KnownExchange | None) -> None:
+    def _exchange(self, id_: str, word: ListedExchange, known: KnownExchange | None) -> None:
         body = ExchangeRecord(word.number, word.state, word.started, word.at, word.address, word.transport)
         if known is not None:
             body.quickest, body.took, body.took_ago = known.fastest_setup, known.recent_setup, _coarse(known.recent_setup_age)
@@ -208,7 +208,7 @@
         body = item.body
         starts[item.key] = body.started
         if age >= 0 and wall - body.word_at <= word_lasts:
-            words[item.key] = word_of(body)
+            words[item.key] = listed_exchange(body)
         exchanges.append(
             KnownExchange(
                 place(item.key),
