--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -834,7 +834,7 @@
     def _recall(self, now: int, recalled: RestoredState) -> None:
         """What the process before this one knew: the list's words, what was learned, the dialogs that stand."""
         entries = []
-        for id_, word in recalled.words.items():
+        for id_, word in recalled.listed.items():
             if word.state == GwState.GONE and id_ not in self.gws:
                 continue  # a machine that came and went: nobody asks for it
             gw = self._gw(id_, word.number)
@@ -843,12 +843,13 @@
             state = GwState(word.state) if self.hops[gw] is not None else GwState.GONE
             entries.append(ListEntry(gw, word.number, state, self._start(now, gw, word.started)))
         self.controller.exchange_list_received(now, entries, False)
-        gws = [self.gws.get(id_, -1) for id_ in recalled.ids]
+        gws = [self.gws.get(id_, -1) for id_ in recalled.exchange_ids]
         learned = recalled.learned._replace(
             now=now,
             exchanges=[
                 known._replace(
-                    gw=gws[known.gw], started=self._start(now, gws[known.gw], recalled.starts.get(recalled.ids[known.gw], 0.0))
+                    gw=gws[known.gw],
+                    started=self._start(now, gws[known.gw], recalled.starts.get(recalled.exchange_ids[known.gw], 0.0)),
                 )
                 for known in recalled.learned.exchanges
                 if gws[known.gw] >= 0
@@ -856,7 +857,7 @@
             pairs=[pair._replace(gw=gws[pair.gw]) for pair in recalled.learned.pairs if gws[pair.gw] >= 0],
         )
         self.controller.restore(now, learned, recalled.age)
-        for (call_id, tag), kept in recalled.standing.items():
+        for (call_id, tag), kept in recalled.dialogs.items():
             self._stands_still(now, (call_id, tag), kept)
 
     def _stands_still(self, now: int, key: tuple[str, str], kept: DialogRecord) -> None:
--- a/gingergap/edge/remembering.py
+++ b/gingergap/edge/remembering.py
@@ -82,8 +82,8 @@
         self.log.info(
             "recalled",
             age_s=found.age / UNIT,
-            exchanges=len(found.ids),
-            standing=len(found.standing),
+            exchanges=len(found.exchange_ids),
+            standing=len(found.dialogs),
             callers=len(found.learned.callers),
             ms=round(self.read_ms, 1),
         )
@@ -92,7 +92,7 @@
 
     def _carry_on(self, found: RestoredState) -> None:
         """What is in the book is known to be: it is compared with, and taken out when it is over."""
-        self.memory.words.update(found.words)
+        self.memory.words.update(found.listed)
         for item in self.book.items("exchange"):
             self.memory.words.setdefault(item.key, listed_exchange(item.body))
         for item in self.book.items("pair"):
--- a/gingergap/store/proxy_state.py
+++ b/gingergap/store/proxy_state.py
@@ -58,11 +58,11 @@
     `ids` gives the id for each gw in `learned`. `starts` are exchanges' starts as kept, wall time."""
 
     age: int
-    words: dict[str, ListedExchange]
+    listed: dict[str, ListedExchange]
     learned: Learned
-    ids: list[str]
+    exchange_ids: list[str]
     starts: dict[str, float]
-    standing: dict[tuple[str, str], DialogRecord]
+    dialogs: dict[tuple[str, str], DialogRecord]
     tokens: dict[str, int]
 
 
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -336,9 +336,9 @@
     book = filled(tmp_path, memory.batch(alive()))
     found = read(book, 1_002.0, 52.0)
     assert found.age == 20_000 and found.tokens == {"probe x1": 17} and found.starts["x2"] == 990.0
-    assert found.words["x2"] == ListedExchange(2, 2, 990.0, 995.0, "127.0.0.1:7102", "TCP")
-    assert found.standing == {("call", "ct"): DialogRecord(1, 2, 3, "x3", 3, 990.0, True, "tt")}
-    by_id = {found.ids[one.gw]: one for one in found.learned.exchanges}
+    assert found.listed["x2"] == ListedExchange(2, 2, 990.0, 995.0, "127.0.0.1:7102", "TCP")
+    assert found.dialogs == {("call", "ct"): DialogRecord(1, 2, 3, "x3", 3, 990.0, True, "tt")}
+    by_id = {found.exchange_ids[one.gw]: one for one in found.learned.exchanges}
     for known in told_now.exchanges:
         kept = by_id[IDS[known.gw]]
         assert (kept.fastest_setup, kept.recent_setup, kept.size, kept.cap) == (
@@ -348,16 +348,16 @@
             known.cap,
         )
         assert 0 <= known.recent_setup_age - kept.recent_setup_age < 1_000
-    assert {(found.ids[pair.gw], pair.destination) for pair in found.learned.pairs} == {("x3", 1), ("x1", 2)}
+    assert {(found.exchange_ids[pair.gw], pair.destination) for pair in found.learned.pairs} == {("x3", 1), ("x1", 2)}
     (caller,) = found.learned.callers
     assert (caller.caller_number, caller.traffic_type, caller.destination) == ("b", 0, 2) and abs(
         caller.first_tried_ago - told_now.callers[0].first_tried_ago
     ) <= 1
     assert read(book, 1_030.0, 80.0).learned.callers == []  # gave up long ago
-    assert read(book, 9_000.0, 8_050.0).words == {}  # words hold for an hour
-    assert read(book, 20_000.0, 19_050.0).standing == {}
+    assert read(book, 9_000.0, 8_050.0).listed == {}  # words hold for an hour
+    assert read(book, 20_000.0, 19_050.0).dialogs == {}
     unknown = read(book, 500.0, 1.0, "other")
-    assert unknown.age == -1 and unknown.words == {} and unknown.learned.callers == [] and unknown.standing
+    assert unknown.age == -1 and unknown.listed == {} and unknown.learned.callers == [] and unknown.dialogs
     book.close()
 
 
@@ -375,7 +375,7 @@
     )
     damage = []
     found = read(book, 1_001.0, 51.0, damage=damage)
-    assert found.standing == {} and found.learned.pairs == [] and len(damage) == 3
+    assert found.dialogs == {} and found.learned.pairs == [] and len(damage) == 3
     book.close()
 
 
