--- a/gingergap/edge/serve.py
+++ b/gingergap/edge/serve.py
@@ -151,7 +151,7 @@
             longest_dialog=round(self.form.longest_dialog_s * UNIT),
         )
         try:
-            self._open_coordination({} if recalled is None else recalled.tokens)
+            self._open_coordination({} if recalled is None else recalled.token_counters)
             if self.store is not None:
                 if self.coordination is not None:
                     self.store.counters = self.coordination.keeper.counters
--- a/gingergap/store/proxy_state.py
+++ b/gingergap/store/proxy_state.py
@@ -63,7 +63,7 @@
     exchange_ids: list[str]
     starts: dict[str, float]
     dialogs: dict[tuple[str, str], DialogRecord]
-    tokens: dict[str, int]
+    token_counters: dict[str, int]
 
 
 class StateRecorder:
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -335,7 +335,7 @@
     memory.token("probe x1", 17)
     book = filled(tmp_path, memory.batch(alive()))
     found = read(book, 1_002.0, 52.0)
-    assert found.age == 20_000 and found.tokens == {"probe x1": 17} and found.starts["x2"] == 990.0
+    assert found.age == 20_000 and found.token_counters == {"probe x1": 17} and found.starts["x2"] == 990.0
     assert found.listed["x2"] == ListedExchange(2, 2, 990.0, 995.0, "127.0.0.1:7102", "TCP")
     assert found.dialogs == {("call", "ct"): DialogRecord(1, 2, 3, "x3", 3, 990.0, True, "tt")}
     by_id = {found.exchange_ids[one.gw]: one for one in found.learned.exchanges}
