--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -535,7 +535,7 @@
             self._count("stand")
             self.transactions.respond(now, call.server, message)
             if self.memory is not None:
-                self.memory.stood(
+                self.memory.dialog_established(
                     *call.key,
                     DialogRecord(
                         call.kind, call.width, call.far, self.ids[leg.gw], leg.far, self._wall(call.arrived), call.transit, tag
@@ -590,7 +590,7 @@
 
     def _forget(self, call: Call) -> None:
         if call.stands and self.calls.pop(call.index, None) is not None and self.memory is not None:
-            self.memory.over(*call.key)
+            self.memory.dialog_ended(*call.key)
         self.calls.pop(call.index, None)
         if self.by_key.get(call.key) is call:
             del self.by_key[call.key]
--- a/gingergap/store/proxy_state.py
+++ b/gingergap/store/proxy_state.py
@@ -79,11 +79,11 @@
 
     # --- what can happen ---
 
-    def stood(self, call_id: str, tag: str, standing: DialogRecord) -> None:
+    def dialog_established(self, call_id: str, tag: str, standing: DialogRecord) -> None:
         key = encode_key(call_id, tag)
         self.pending[STANDING, key] = Change(STANDING, key, standing, standing.since)
 
-    def over(self, call_id: str, tag: str) -> None:
+    def dialog_ended(self, call_id: str, tag: str) -> None:
         """A dialog that stood is over; one whose record was never written leaves none."""
         key = encode_key(call_id, tag)
         self.pending[STANDING, key] = Change(STANDING, key, None)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -287,10 +287,10 @@
 def test_a_batch_that_was_not_written_is_written_with_what_came_since():
     memory = StateRecorder(3_600, 100, [1.0])
     standing = DialogRecord(0, 1, 1, "x1", 1, 5.0, False, "t")
-    memory.stood("a", "ct", standing)
-    memory.stood("b", "ct", standing)
+    memory.dialog_established("a", "ct", standing)
+    memory.dialog_established("b", "ct", standing)
     lost = memory.batch(alive())
-    memory.over("a", "ct")
+    memory.dialog_ended("a", "ct")
     memory.not_written(lost)
     again = {change.key: change.body for change in memory.batch(alive()) if change.kind == STANDING}
     assert again == {encode_key("a", "ct"): None, encode_key("b", "ct"): standing}
@@ -331,7 +331,7 @@
         memory.listed(id_, ListedExchange(place, 2, 990.0 if place == 2 else 0.0, 995.0, f"127.0.0.1:{7100 + place}", "TCP"))
     told_now = old.export_learned(now, 100)
     memory.learned(1_000.0, told_now, IDS)
-    memory.stood("call", "ct", DialogRecord(1, 2, 3, "x3", 3, 990.0, True, "tt"))
+    memory.dialog_established("call", "ct", DialogRecord(1, 2, 3, "x3", 3, 990.0, True, "tt"))
     memory.token("probe x1", 17)
     book = filled(tmp_path, memory.batch(alive()))
     found = read(book, 1_002.0, 52.0)
