--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -152,7 +152,9 @@
         book = RecordStore(Path(folder))
         memory = StateRecorder(3_600, callers, [1.0])
         for number in range(60):
-            memory.listed(f"x{number}", ListedExchange(number, 2, wall - 900, wall - 30, f"127.0.0.1:{10_000 + number}", "UDP"))
+            memory.exchange_listed(
+                f"x{number}", ListedExchange(number, 2, wall - 900, wall - 30, f"127.0.0.1:{10_000 + number}", "UDP")
+            )
         book.commit(memory.batch(HeartbeatRecord(wall - 2, time.monotonic() - 2, "b", "p", wall)))
         book.commit(
             [
--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -185,7 +185,7 @@
             gw = self._gw(name, number)
             self.hops[gw] = Hop("UDP", host, port)
             if memory is not None:
-                memory.known(name, number, f"{host}:{port}", "UDP")
+                memory.exchange_configured(name, number, f"{host}:{port}", "UDP")
             known.append(ListEntry(gw, number, GwState.READY, 0))
         self.controller.exchange_list_received(now, known, True)
         if recalled is not None:
@@ -774,7 +774,7 @@
                 state = GwState.GONE
             self.log.info("exchange-listed", exchange=line.id, number=line.number, state=line.state, started=line.started)
             if self.memory is not None:
-                self.memory.listed(
+                self.memory.exchange_listed(
                     line.id,
                     ListedExchange(
                         line.number,
--- a/gingergap/store/proxy_state.py
+++ b/gingergap/store/proxy_state.py
@@ -88,11 +88,11 @@
         key = encode_key(call_id, tag)
         self.pending[STANDING, key] = Change(STANDING, key, None)
 
-    def known(self, id_: str, number: int, address: str, transport: str) -> None:
+    def exchange_configured(self, id_: str, number: int, address: str, transport: str) -> None:
         """An exchange of the settings, of which the list has told nothing."""
         self.words.setdefault(id_, ListedExchange(number, GwState.READY, 0.0, 0.0, address, transport))
 
-    def listed(self, id_: str, word: ListedExchange) -> None:
+    def exchange_listed(self, id_: str, word: ListedExchange) -> None:
         """The list told of an exchange: written with what is known of it."""
         self.words[id_] = word
         self._exchange(id_, word, None)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -271,7 +271,7 @@
     old, now = worked()
     memory = StateRecorder(3_600, 100, [1.0, 3.0])
     for place, id_ in enumerate(IDS):
-        memory.listed(id_, ListedExchange(place, 2, 0.0, 990.0, f"127.0.0.1:{7100 + place}", "UDP"))
+        memory.exchange_listed(id_, ListedExchange(place, 2, 0.0, 990.0, f"127.0.0.1:{7100 + place}", "UDP"))
     memory.learned(1_000.0, old.export_learned(now, 100), IDS)
     first = memory.batch(alive())
     assert {change.kind for change in first} == {EXCHANGE, PAIR, "figures", CALLER, ALIVE}
@@ -298,8 +298,8 @@
 
 def test_words_on_machines_long_gone_leave_the_book():
     memory = StateRecorder(100, 100, [1.0])
-    memory.listed("x1r2", ListedExchange(1, int(GwState.GONE), 5.0, 1_000.0, "127.0.0.1:1", "UDP"))
-    memory.listed("x1r3", ListedExchange(1, int(GwState.READY), 6.0, 1_000.0, "127.0.0.1:1", "UDP"))
+    memory.exchange_listed("x1r2", ListedExchange(1, int(GwState.GONE), 5.0, 1_000.0, "127.0.0.1:1", "UDP"))
+    memory.exchange_listed("x1r3", ListedExchange(1, int(GwState.READY), 6.0, 1_000.0, "127.0.0.1:1", "UDP"))
     memory.batch(alive())
     memory.forgotten(1_050.0)
     assert [change.kind for change in memory.batch(alive())] == [ALIVE]
@@ -328,7 +328,9 @@
     old, now = worked()
     memory = StateRecorder(3_600, 100, [1.0, 3.0])
     for place, id_ in enumerate(IDS):
-        memory.listed(id_, ListedExchange(place, 2, 990.0 if place == 2 else 0.0, 995.0, f"127.0.0.1:{7100 + place}", "TCP"))
+        memory.exchange_listed(
+            id_, ListedExchange(place, 2, 990.0 if place == 2 else 0.0, 995.0, f"127.0.0.1:{7100 + place}", "TCP")
+        )
     told_now = old.export_learned(now, 100)
     memory.learned(1_000.0, told_now, IDS)
     memory.dialog_established("call", "ct", DialogRecord(1, 2, 3, "x3", 3, 990.0, True, "tt"))
