--- a/gingergap/edge/remembering.py
+++ b/gingergap/edge/remembering.py
@@ -92,11 +92,11 @@
 
     def _carry_on(self, found: RestoredState) -> None:
         """What is in the book is known to be: it is compared with, and taken out when it is over."""
-        self.memory.words.update(found.listed)
+        self.memory.listed.update(found.listed)
         for item in self.book.items("exchange"):
-            self.memory.words.setdefault(item.key, listed_exchange(item.body))
+            self.memory.listed.setdefault(item.key, listed_exchange(item.body))
         for item in self.book.items("pair"):
-            self.memory.kept["pair", item.key] = b""
+            self.memory.written["pair", item.key] = b""
 
     def start(self, proxy: EdgeProxy, work: Any, clock: Callable[[], int], *, every: float, learn_every: float) -> None:
         """Begin the background tasks. `work` is the proxy's LocalWork."""
--- a/gingergap/store/proxy_state.py
+++ b/gingergap/store/proxy_state.py
@@ -72,9 +72,9 @@
 
     def __init__(self, word_lasts: float, most_callers: int, worths: list[float]) -> None:
         self.word_lasts, self.most_callers, self.worths = word_lasts, most_callers, worths
-        self.kept: dict[tuple[str, str], bytes] = {}  # what the book holds, as far as it is compared
+        self.written: dict[tuple[str, str], bytes] = {}  # what the book holds, as far as it is compared
         self.pending: dict[tuple[str, str], Change] = {}
-        self.words: dict[str, ListedExchange] = {}
+        self.listed: dict[str, ListedExchange] = {}
         self.callers: set[str] = set()
 
     # --- what can happen ---
@@ -90,11 +90,11 @@
 
     def exchange_configured(self, id_: str, number: int, address: str, transport: str) -> None:
         """An exchange of the settings, of which the list has told nothing."""
-        self.words.setdefault(id_, ListedExchange(number, GwState.READY, 0.0, 0.0, address, transport))
+        self.listed.setdefault(id_, ListedExchange(number, GwState.READY, 0.0, 0.0, address, transport))
 
     def exchange_listed(self, id_: str, word: ListedExchange) -> None:
         """The list told of an exchange: written with what is known of it."""
-        self.words[id_] = word
+        self.listed[id_] = word
         self._exchange(id_, word, None)
 
     def token(self, duty: str, counter: int) -> None:
@@ -105,13 +105,13 @@
         """What the module knows now; `ids` by gw."""
         for known in told.exchanges:
             id_ = ids[known.gw]
-            word = self.words.get(id_)
+            word = self.listed.get(id_)
             if word is not None:
                 self._exchange(id_, word, known)
         pairs = {encode_key(ids[pair.gw], pair.destination): pair for pair in told.pairs}
         for key, pair in pairs.items():
             self._put(PAIR, key, TandemRecord(_coarse(pair.remaining), pair.duration), wall)
-        for kind, key in list(self.kept):
+        for kind, key in list(self.written):
             if kind == PAIR and key not in pairs:
                 self._take(PAIR, key)
         self._put(FIGURES, "", RatesRecord(round(told.best_setup_rate, 1), round(told.average_setup)), wall)
@@ -127,9 +127,9 @@
 
     def forgotten(self, wall: float) -> None:
         """Words on machines that are long gone go from the book; rolling replacements would fill it with names."""
-        for id_, word in list(self.words.items()):
+        for id_, word in list(self.listed.items()):
             if word.state == GwState.GONE and wall - word.at > self.word_lasts:
-                del self.words[id_]
+                del self.listed[id_]
                 self._take(EXCHANGE, id_)
 
     def batch(self, alive: HeartbeatRecord) -> list[Change]:
@@ -156,12 +156,12 @@
 
     def _put(self, kind: str, key: str, body: Any, seen: float) -> None:
         data = ENCODER.encode(body)
-        if self.kept.get((kind, key)) != data:
-            self.kept[kind, key] = data
+        if self.written.get((kind, key)) != data:
+            self.written[kind, key] = data
             self.pending[kind, key] = Change(kind, key, body, seen)
 
     def _take(self, kind: str, key: str) -> None:
-        if self.kept.pop((kind, key), None) is not None:
+        if self.written.pop((kind, key), None) is not None:
             self.pending[kind, key] = Change(kind, key, None)
 
 
