--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -155,7 +155,7 @@
             memory.exchange_listed(
                 f"x{number}", ListedExchange(number, 2, wall - 900, wall - 30, f"127.0.0.1:{10_000 + number}", "UDP")
             )
-        book.commit(memory.batch(HeartbeatRecord(wall - 2, time.monotonic() - 2, "b", "p", wall)))
+        book.commit(memory.take_batch(HeartbeatRecord(wall - 2, time.monotonic() - 2, "b", "p", wall)))
         book.commit(
             [
                 Change(
--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -889,8 +889,8 @@
 
     def learned(self, now: int, most_callers: int) -> None:
         """Tell the memory what the module knows."""
-        self.memory.learned(self._wall(now), self.controller.export_learned(now, most_callers), self.ids)
-        self.memory.forgotten(self._wall(now))
+        self.memory.record_learned(self._wall(now), self.controller.export_learned(now, most_callers), self.ids)
+        self.memory.drop_expired_exchanges(self._wall(now))
 
     def _wall(self, now: int) -> float:
         return self.wall_at_start + (now - self.started_at) / SECOND
--- a/gingergap/edge/remembering.py
+++ b/gingergap/edge/remembering.py
@@ -123,18 +123,18 @@
     def learn(self) -> bool:
         self.proxy.learned(self.clock(), self.most_callers)
         for duty, counter in self.counters().items():
-            self.memory.token(duty, counter)
+            self.memory.record_token(duty, counter)
         return True
 
     def write(self) -> bool:
         """Everything that has changed, as one batch; whether it is on the disk."""
         with self.one_at_a_time:
             alive = HeartbeatRecord(time.time(), time.monotonic(), self.boot, self.instance, self.began)
-            changes = self.memory.batch(alive)
+            changes = self.memory.take_batch(alive)
             try:
                 self.written += self.apart(self.book.commit, changes)
             except BadStoreError as bad:
-                self.memory.not_written(changes)
+                self.memory.restore_batch(changes)
                 self.failures += 1
                 if not self.troubled:
                     self.troubled = True
--- a/gingergap/store/proxy_state.py
+++ b/gingergap/store/proxy_state.py
@@ -97,11 +97,11 @@
         self.listed[id_] = word
         self._exchange(id_, word, None)
 
-    def token(self, duty: str, counter: int) -> None:
+    def record_token(self, duty: str, counter: int) -> None:
         """A counter was heard of for a duty."""
         self._put(TOKEN, duty, TokenRecord(counter), 0.0)
 
-    def learned(self, wall: float, told: Learned, ids: list[str]) -> None:
+    def record_learned(self, wall: float, told: Learned, ids: list[str]) -> None:
         """What the module knows now; `ids` by gw."""
         for known in told.exchanges:
             id_ = ids[known.gw]
@@ -125,20 +125,20 @@
             self.pending[CALLER, key] = Change(CALLER, key, None)
         self.callers = set(callers)
 
-    def forgotten(self, wall: float) -> None:
+    def drop_expired_exchanges(self, wall: float) -> None:
         """Words on machines that are long gone go from the book; rolling replacements would fill it with names."""
         for id_, word in list(self.listed.items()):
             if word.state == GwState.GONE and wall - word.at > self.word_lasts:
                 del self.listed[id_]
                 self._take(EXCHANGE, id_)
 
-    def batch(self, alive: HeartbeatRecord) -> list[Change]:
+    def take_batch(self, alive: HeartbeatRecord) -> list[Change]:
         """All that is to be written now, the sign of life last."""
         changes = list(self.pending.values())
         self.pending.clear()
         return [*changes, Change(ALIVE, "", alive, alive.wall)]
 
-    def not_written(self, changes: Iterable[Change]) -> None:
+    def restore_batch(self, changes: Iterable[Change]) -> None:
         """A batch failed: it is to be written again, but for what has changed since."""
         for change in changes:
             if change.kind != ALIVE:
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -272,15 +272,15 @@
     memory = StateRecorder(3_600, 100, [1.0, 3.0])
     for place, id_ in enumerate(IDS):
         memory.exchange_listed(id_, ListedExchange(place, 2, 0.0, 990.0, f"127.0.0.1:{7100 + place}", "UDP"))
-    memory.learned(1_000.0, old.export_learned(now, 100), IDS)
-    first = memory.batch(alive())
+    memory.record_learned(1_000.0, old.export_learned(now, 100), IDS)
+    first = memory.take_batch(alive())
     assert {change.kind for change in first} == {EXCHANGE, PAIR, "figures", CALLER, ALIVE}
-    memory.learned(1_000.0, old.export_learned(now, 100), IDS)
-    assert [change.kind for change in memory.batch(alive())] == [ALIVE]
+    memory.record_learned(1_000.0, old.export_learned(now, 100), IDS)
+    assert [change.kind for change in memory.take_batch(alive())] == [ALIVE]
     old.tandem_backoffs.clear()
     old.first_tried.clear()
-    memory.learned(1_000.1, old.export_learned(now, 100), IDS)
-    gone = [change for change in memory.batch(alive()) if change.body is None]
+    memory.record_learned(1_000.1, old.export_learned(now, 100), IDS)
+    gone = [change for change in memory.take_batch(alive()) if change.body is None]
     assert {change.kind for change in gone} == {PAIR, CALLER}
 
 
@@ -289,10 +289,10 @@
     standing = DialogRecord(0, 1, 1, "x1", 1, 5.0, False, "t")
     memory.dialog_established("a", "ct", standing)
     memory.dialog_established("b", "ct", standing)
-    lost = memory.batch(alive())
+    lost = memory.take_batch(alive())
     memory.dialog_ended("a", "ct")
-    memory.not_written(lost)
-    again = {change.key: change.body for change in memory.batch(alive()) if change.kind == STANDING}
+    memory.restore_batch(lost)
+    again = {change.key: change.body for change in memory.take_batch(alive()) if change.kind == STANDING}
     assert again == {encode_key("a", "ct"): None, encode_key("b", "ct"): standing}
 
 
@@ -300,11 +300,11 @@
     memory = StateRecorder(100, 100, [1.0])
     memory.exchange_listed("x1r2", ListedExchange(1, int(GwState.GONE), 5.0, 1_000.0, "127.0.0.1:1", "UDP"))
     memory.exchange_listed("x1r3", ListedExchange(1, int(GwState.READY), 6.0, 1_000.0, "127.0.0.1:1", "UDP"))
-    memory.batch(alive())
-    memory.forgotten(1_050.0)
-    assert [change.kind for change in memory.batch(alive())] == [ALIVE]
-    memory.forgotten(1_200.0)
-    assert [(change.key, change.body) for change in memory.batch(alive()) if change.kind == EXCHANGE] == [("x1r2", None)]
+    memory.take_batch(alive())
+    memory.drop_expired_exchanges(1_050.0)
+    assert [change.kind for change in memory.take_batch(alive())] == [ALIVE]
+    memory.drop_expired_exchanges(1_200.0)
+    assert [(change.key, change.body) for change in memory.take_batch(alive()) if change.kind == EXCHANGE] == [("x1r2", None)]
 
 
 @pytest.mark.parametrize(
@@ -332,10 +332,10 @@
             id_, ListedExchange(place, 2, 990.0 if place == 2 else 0.0, 995.0, f"127.0.0.1:{7100 + place}", "TCP")
         )
     told_now = old.export_learned(now, 100)
-    memory.learned(1_000.0, told_now, IDS)
+    memory.record_learned(1_000.0, told_now, IDS)
     memory.dialog_established("call", "ct", DialogRecord(1, 2, 3, "x3", 3, 990.0, True, "tt"))
-    memory.token("probe x1", 17)
-    book = filled(tmp_path, memory.batch(alive()))
+    memory.record_token("probe x1", 17)
+    book = filled(tmp_path, memory.take_batch(alive()))
     found = read(book, 1_002.0, 52.0)
     assert found.age == 20_000 and found.token_counters == {"probe x1": 17} and found.starts["x2"] == 990.0
     assert found.listed["x2"] == ListedExchange(2, 2, 990.0, 995.0, "127.0.0.1:7102", "TCP")
@@ -440,7 +440,7 @@
         """Another proxy, `after` seconds later, with what this one had written."""
         wall = 1_000_000.0 + self.now / SECOND
         self.proxy.learned(self.now, 100)
-        book = filled(self.folder, self.memory.batch(HeartbeatRecord(wall, self.now / SECOND, "b", "p0", 0.0)))
+        book = filled(self.folder, self.memory.take_batch(HeartbeatRecord(wall, self.now / SECOND, "b", "p0", 0.0)))
         found = read(book, wall + after, self.now / SECOND + after)
         book.close()
         return Restarted(self.folder, found, self.now + int(after * SECOND), wall + after)
@@ -567,7 +567,7 @@
     assert granted
     memory = StateRecorder(3_600, 100, [1.0])
     for duty, counter in keeper.counters().items():
-        memory.token(duty, counter)
-    book = filled(tmp_path, memory.batch(alive()))
+        memory.record_token(duty, counter)
+    book = filled(tmp_path, memory.take_batch(alive()))
     assert {item.key: item.body.counter for item in book.items(TOKEN)} == {"probe x1": 19}
     book.close()
