--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -189,9 +189,9 @@
                 time.time(),
                 time.monotonic(),
                 "b",
-                word_lasts=3_600,
-                longest_dialog=14_400,
-                caller_lasts=9,
+                list_validity=3_600,
+                max_dialog_age=14_400,
+                caller_retention=9,
                 damage=book.damage,
             )
             proxy = proxy_of(
--- a/gingergap/edge/remembering.py
+++ b/gingergap/edge/remembering.py
@@ -67,9 +67,9 @@
                 time.time(),
                 time.monotonic(),
                 self.boot,
-                word_lasts=self.word_lasts,
-                longest_dialog=self.longest_dialog,
-                caller_lasts=self.caller_lasts,
+                list_validity=self.word_lasts,
+                max_dialog_age=self.longest_dialog,
+                caller_retention=self.caller_lasts,
                 damage=self.book.damage,
             )
         except BadStoreError as bad:
--- a/gingergap/store/proxy_state.py
+++ b/gingergap/store/proxy_state.py
@@ -70,8 +70,8 @@
     """One running proxy's. `word_lasts` in seconds: the list's word on an exchange counts for so long at a start.
     `worths` are the importances of the traffic types."""
 
-    def __init__(self, word_lasts: float, most_callers: int, worths: list[float]) -> None:
-        self.word_lasts, self.most_callers, self.worths = word_lasts, most_callers, worths
+    def __init__(self, list_validity: float, most_callers: int, worths: list[float]) -> None:
+        self.list_validity, self.most_callers, self.worths = list_validity, most_callers, worths
         self.written: dict[tuple[str, str], bytes] = {}  # what the book holds, as far as it is compared
         self.pending: dict[tuple[str, str], Change] = {}
         self.listed: dict[str, ListedExchange] = {}
@@ -128,7 +128,7 @@
     def drop_expired_exchanges(self, wall: float) -> None:
         """Words on machines that are long gone go from the book; rolling replacements would fill it with names."""
         for id_, word in list(self.listed.items()):
-            if word.state == GwState.GONE and wall - word.at > self.word_lasts:
+            if word.state == GwState.GONE and wall - word.at > self.list_validity:
                 del self.listed[id_]
                 self._take(EXCHANGE, id_)
 
@@ -186,9 +186,9 @@
     monotonic: float,
     boot: str,
     *,
-    word_lasts: float,
-    longest_dialog: float,
-    caller_lasts: float,
+    list_validity: float,
+    max_dialog_age: float,
+    caller_retention: float,
     damage: list[str],
 ) -> RestoredState:
     """What the records of a book come to at a start. `items(kind, since)` gives records with key, body and seen."""
@@ -207,7 +207,7 @@
     for item in items(EXCHANGE):
         body = item.body
         starts[item.key] = body.started
-        if age >= 0 and wall - body.word_at <= word_lasts:
+        if age >= 0 and wall - body.word_at <= list_validity:
             words[item.key] = listed_exchange(body)
         exchanges.append(
             KnownExchange(
@@ -232,14 +232,14 @@
             damage.append(str(bad))
     callers = []
     if age >= 0:
-        for item in items(CALLER, wall - caller_lasts):
+        for item in items(CALLER, wall - caller_retention):
             try:
                 number, kind, far = decode_key(item.key, 3)
             except BadRecordError as bad:
                 damage.append(str(bad))
                 continue
             ago = round((wall - item.body.first) * UNIT) - age
-            if 0 <= ago + age <= caller_lasts * UNIT:
+            if 0 <= ago + age <= caller_retention * UNIT:
                 callers.append(KnownCaller(str(number), int(kind), int(far), max(0, ago)))
     figures = next((item.body for item in items(FIGURES)), RatesRecord(0.0, 0.0))
     standing = {}
@@ -249,7 +249,7 @@
         except BadRecordError as bad:
             damage.append(str(bad))
             continue
-        if age < 0 or wall - item.body.since <= longest_dialog:
+        if age < 0 or wall - item.body.since <= max_dialog_age:
             standing[call_id, tag] = item.body
     tokens = {item.key: item.body.counter for item in items(TOKEN)}
     learned = Learned(0, exchanges, pairs, callers, figures.best_rate, figures.pace)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -263,7 +263,7 @@
 
 
 def read(book, wall, monotonic=50.0, boot="b", **more):
-    figures = {"word_lasts": 3_600.0, "longest_dialog": 14_400.0, "caller_lasts": 9.0, "damage": [], **more}
+    figures = {"list_validity": 3_600.0, "max_dialog_age": 14_400.0, "caller_retention": 9.0, "damage": [], **more}
     return restore_state(book.items, wall, monotonic, boot, **figures)
 
 
