--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -18,7 +18,7 @@
 from ..sip.fields import address_of, host_port, seconds_of, tag_of, top_via, uri_of, via_of
 from ..sip.message import BadMessageError, Message, response
 from ..sip.transactions import MAGIC, Client, Hop, Lost, Server, Transactions, Wire
-from ..store.audit import Audit
+from ..store.audit import DialogAudit
 from ..store.proxy_state import ListedExchange, RestoredState, StateRecorder
 from ..store.records import DialogRecord
 from ..trace.stored_names import stored_arguments
@@ -129,7 +129,7 @@
         self.wire, self.log, self.fresh = wire, log, fresh
         self.address, self.domain, self.here = address, domain, here
         self.tape, self.memory = tape, memory
-        self.audit = Audit()
+        self.audit = DialogAudit()
         self.types, self.kinds, self.widths = types, kinds, widths
         self.numbering, self.door, self.default_expires = numbering, door, default_expires
         self.now, self.wall_at_start, self.started_at = now, wall, now
@@ -579,7 +579,7 @@
         if over:
             self._forget(call)
         if type(call.server) is NoServer:  # the module never heard of it
-            self.audit.over(leg.far, call.index)
+            self.audit.dialog_ended(leg.far, call.index)
             return
         self.controller.leg_ended(now, call.index, leg.gw, how, rsn, over, *self.circuits.count(leg.far))
 
@@ -815,7 +815,7 @@
             self._group_told(now, line.number, *self.circuits.told(line.number, line.free, line.size))
 
     def _group_told(self, now: int, number: int, free: int, size: int) -> None:
-        for dialog in self.audit.told(number, free, size):
+        for dialog in self.audit.group_reported(number, free, size):
             self._count("remembered dialogs that were over")
             self.forget_standing(now, dialog)
         for gw, held in enumerate(self.numbers):
--- a/gingergap/edge/remembering.py
+++ b/gingergap/edge/remembering.py
@@ -177,5 +177,5 @@
             "evicted": self.evicted,
             "read_ms": round(self.read_ms, 1),
             "standing_remembered": self.proxy.counts.get("remembered", 0),
-            "found_over": self.proxy.audit.lost,
+            "found_over": self.proxy.audit.removed,
         }
--- a/gingergap/store/audit.py
+++ b/gingergap/store/audit.py
@@ -14,24 +14,24 @@
     width: int
 
 
-class Audit:
+class DialogAudit:
     """Remembered dialogs by the number of the exchange that their leg went to."""
 
     def __init__(self) -> None:
         self.groups: dict[int, list[Remembered]] = {}
         self.counted: dict[int, int] = {}  # counts heard of each group
-        self.lost = 0
+        self.removed = 0
 
     def add(self, number: int, since: float, dialog: int, width: int) -> None:
         self.groups.setdefault(number, []).append(Remembered(since, dialog, width))
 
-    def over(self, number: int, dialog: int) -> None:
+    def dialog_ended(self, number: int, dialog: int) -> None:
         """One of them has ended as it should."""
         held = self.groups.get(number)
         if held is not None:
             self.groups[number] = [one for one in held if one.dialog != dialog]
 
-    def told(self, number: int, free: int, size: int) -> list[int]:
+    def group_reported(self, number: int, free: int, size: int) -> list[int]:
         """The switch's count of a group; the dialogs that can't stand any more."""
         held = self.groups.get(number)
         if not held or size < 0:
@@ -47,5 +47,5 @@
             gone.append(one.dialog)
             over -= one.width
         self.groups[number] = [one for one in held if one.dialog not in set(gone)]
-        self.lost += len(gone)
+        self.removed += len(gone)
         return gone
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -11,7 +11,7 @@
 from gingergap.edge.serve import proxy_of
 from gingergap.host import GwState, KnownCaller, KnownExchange, KnownPair, Learned, LegEnd, ListEntry, Rsn
 from gingergap.sip.fields import top_via
-from gingergap.store.audit import Audit
+from gingergap.store.audit import DialogAudit
 from gingergap.store.proxy_state import ListedExchange, StateRecorder, age_of, restore_state
 from gingergap.store.record_store import RecordStore
 from gingergap.store.records import ALIVE, CALLER, EXCHANGE, PAIR, STANDING, TOKEN, DialogRecord, HeartbeatRecord, encode_key
@@ -385,24 +385,24 @@
 
 
 def test_the_first_count_after_a_start_decides_nothing_and_the_second_what_cannot_be():
-    audit = Audit()
+    audit = DialogAudit()
     for dialog in range(5):
         audit.add(1, 100.0 + dialog, dialog, 2)
-    assert audit.told(1, 20, 20) == []
-    assert audit.told(1, 14, 20) == [0, 1]  # six circuits in use: three dialogs at most, the oldest are over
-    assert audit.told(1, 14, 20) == [] and audit.lost == 2
-    audit.over(1, 4)
-    assert audit.told(1, 18, 20) == [2] and audit.told(2, 0, 5) == [] and audit.told(1, -1, -1) == []
+    assert audit.group_reported(1, 20, 20) == []
+    assert audit.group_reported(1, 14, 20) == [0, 1]  # six circuits in use: three dialogs at most, the oldest are over
+    assert audit.group_reported(1, 14, 20) == [] and audit.removed == 2
+    audit.dialog_ended(1, 4)
+    assert audit.group_reported(1, 18, 20) == [2] and audit.group_reported(2, 0, 5) == [] and audit.group_reported(1, -1, -1) == []
 
 
 @given(st.lists(st.tuples(st.integers(0, 50), st.integers(1, 3)), max_size=20), st.integers(0, 30), st.integers(0, 30))
 @settings(max_examples=100, derandomize=True, deadline=None)
 def test_no_more_is_given_up_than_the_count_asks_for(dialogs, free, size):
-    audit = Audit()
+    audit = DialogAudit()
     for number, (since, width) in enumerate(dialogs):
         audit.add(1, float(since), number, width)
-    audit.told(1, free, size)
-    gone = audit.told(1, free, size)
+    audit.group_reported(1, free, size)
+    gone = audit.group_reported(1, free, size)
     widths = [width for _, width in dialogs]
     left = sum(widths) - sum(widths[number] for number in gone)
     in_use = max(0, size - free)
