--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -12,11 +12,11 @@
 
 
 def settled(count, loss, seed):
-    net = Network(seed, loss=loss, tick=500)
+    net = Network(seed, loss=loss, tick_interval=500)
     seeds = tuple(f"at-m{number}" for number in range(min(3, count)))
     nodes = [net.start(f"m{number}", seeds=seeds) for number in range(count)]
     names = {node.name for node in nodes}
-    took = net.run(120 * SECOND, lambda: net.heap[0][0] % 50 == 0 and net.agree(names))
+    took = net.run(120 * SECOND, lambda: net.events[0][0] % 50 == 0 and net.has_converged(names))
     return net, nodes, names, took
 
 
@@ -24,17 +24,17 @@
     net, nodes, names, joined = settled(count, loss, seed)
     for node in nodes:
         node.sent = node.sent_bytes = 0
-        node.downs.clear()
+        node.departed.clear()
     span = 30
     net.run(span * SECOND)
     traffic = sum(node.sent for node in nodes) / count / span, sum(node.sent_bytes for node in nodes) / count / span
-    false = sum(len(node.downs) for node in nodes)
+    false = sum(len(node.departed) for node in nodes)
     alarms = sum(node.members.false_alarms for node in nodes)
     dead, rest = nodes[-1], names - {nodes[-1].name}
     net.stop(dead)
     began = net.now
-    net.run(120 * SECOND, lambda: net.heap[0][0] % 50 == 0 and net.agree(rest))
-    seen = [when - began for node in nodes[:-1] for when, name, _ in node.downs if name == dead.name]
+    net.run(120 * SECOND, lambda: net.events[0][0] % 50 == 0 and net.has_converged(rest))
+    seen = [when - began for node in nodes[:-1] for when, name, _ in node.departed if name == dead.name]
     first = min(seen) / SECOND if seen else float("nan")
     last = max(seen) / SECOND if seen else float("nan")
     return (
--- a/gingergap/membership/__init__.py
+++ b/gingergap/membership/__init__.py
@@ -1,2 +1,2 @@
-"""Who is there: proxies that may coordinate find each other and notice who is gone. Decisions without I/O, and a
-datagram transport on gevent. Nothing in call_controller.py leans on it."""
+"""Group membership and failure detection among proxies that coordinate: a protocol without I/O (swim.py), the encoding of its
+datagrams (codec.py) and a gevent transport (transport.py). Call routing does not depend on it."""
--- a/gingergap/membership/simulated.py
+++ b/gingergap/membership/simulated.py
@@ -1,5 +1,5 @@
-"""A network of members in simulated time, for tests and measurements: the same decision code, with loss, delay, splits,
-standstills and clocks of their own. Deterministic by its seed."""
+"""A network of members in simulated time, for tests and benchmarks: the protocol code of swim.py with message loss, delay,
+partitions and paused members. Deterministic for a seed. Times in tenths of a millisecond."""
 
 from collections.abc import Callable
 from heapq import heappop, heappush
@@ -11,59 +11,60 @@
 
 
 class Node:
-    """One member; also the host of its `Members`."""
+    """One member, and the host of its `Membership`. `options` are passed on to `Membership`."""
 
-    def __init__(self, net: "Network", name: str, generation: int, **figures) -> None:
+    def __init__(self, net: "Network", name: str, generation: int, **options) -> None:
         self.net, self.name, self.generation, self.address = net, name, generation, f"at-{name}"
         self.paused_until = 0.0
         self.running = True
-        self.ups: list[str] = []
-        self.downs: list[tuple[int, str, bool]] = []
-        self.taken: list[str] = []
+        self.joined: list[str] = []
+        self.departed: list[tuple[int, str, bool]] = []  # time, name, whether it left
+        self.name_conflicts: list[str] = []
         self.inbox: list[Callable[[], None]] = []
         self.sent = self.sent_bytes = 0
         self.members = Membership(
-            self, Random(f"{net.seed} {name} {generation}"), net.now, name, self.address, generation, **figures
+            self, Random(f"{net.seed} {name} {generation}"), net.now, name, self.address, generation, **options
         )
 
     def send(self, to: str, address: str, message: Message) -> None:
         self.sent += 1
         self.sent_bytes += len(ENCODER.encode(message)) + 60
-        self.net.carry(self, address, message)
+        self.net.transmit(self, address, message)
 
     def member_up(self, name: str) -> None:
-        self.ups.append(name)
+        self.joined.append(name)
 
     def member_down(self, name: str, left: bool) -> None:
-        self.downs.append((self.net.now, name, left))
+        self.departed.append((self.net.now, name, left))
 
     def name_taken(self, address: str) -> None:
-        self.taken.append(address)
+        self.name_conflicts.append(address)
 
 
 class Network:
-    """`loss` and the two bounds of `delay` (tenths of a millisecond) hold for all ways; `cut` may forbid some."""
+    """`loss` is a probability; `delay` gives the shortest and the longest delay; both hold for every pair of members.
+    `is_blocked(source, target)` may suppress messages."""
 
-    def __init__(self, seed: int, loss: float = 0.0, delay: tuple[int, int] = (2, 20), tick: int = 250) -> None:
-        self.seed, self.loss, self.delay, self.tick = seed, loss, delay, tick
-        self.draw = Random(f"{seed} network")
+    def __init__(self, seed: int, loss: float = 0.0, delay: tuple[int, int] = (2, 20), tick_interval: int = 250) -> None:
+        self.seed, self.loss, self.delay, self.tick_interval = seed, loss, delay, tick_interval
+        self.rng = Random(f"{seed} network")
         self.now = 0
         self.nodes: dict[str, Node] = {}  # by address
-        self.heap: list[tuple[int, int, Callable[[], None]]] = []
-        self.pushed = 0
-        self.cut: Callable[[str, str], bool] = lambda source, target: False
+        self.events: list[tuple[int, int, Callable[[], None]]] = []  # heap of (time, serial number, action)
+        self.event_count = 0
+        self.is_blocked: Callable[[str, str], bool] = lambda source, target: False
 
-    def start(self, name: str, generation: int = 1, address: str = "", **figures) -> Node:
-        node = Node(self, name, generation, **figures) if not address else self._at_address(name, generation, address, figures)
+    def start(self, name: str, generation: int = 1, address: str = "", **options) -> Node:
+        node = Node(self, name, generation, **options) if not address else self._at_address(name, generation, address, options)
         self.nodes[node.address] = node
-        self.at(self.now + self.draw.randrange(self.tick), lambda: self._tick(node))
+        self.schedule(self.now + self.rng.randrange(self.tick_interval), lambda: self._tick(node))
         return node
 
-    def _at_address(self, name: str, generation: int, address: str, figures: dict) -> Node:
-        node = Node(self, name, generation, **figures)
+    def _at_address(self, name: str, generation: int, address: str, options: dict) -> Node:
+        node = Node(self, name, generation, **options)
         node.address = node.members.address = address
         node.members.seeds = tuple(seed for seed in node.members.seeds if seed != address)
-        node.members._say_own()
+        node.members._announce_self()
         return node
 
     def stop(self, node: Node) -> None:
@@ -71,25 +72,25 @@
         if self.nodes.get(node.address) is node:
             del self.nodes[node.address]
 
-    def pause(self, node: Node, span: int) -> None:
-        """Stands still: nothing is read or sent; what comes meanwhile waits."""
-        node.paused_until = self.now + span
+    def pause(self, node: Node, duration: int) -> None:
+        """The node neither reads nor sends; messages that arrive meanwhile are queued."""
+        node.paused_until = self.now + duration
 
-    def at(self, when: int, act: Callable[[], None]) -> None:
-        self.pushed += 1
-        heappush(self.heap, (when, self.pushed, act))
+    def schedule(self, when: int, action: Callable[[], None]) -> None:
+        self.event_count += 1
+        heappush(self.events, (when, self.event_count, action))
 
-    def carry(self, source: Node, address: str, message: Message) -> None:
+    def transmit(self, source: Node, address: str, message: Message) -> None:
         target = self.nodes.get(address)
-        if target is None or self.draw.random() < self.loss or self.cut(source.name, target.name):
+        if target is None or self.rng.random() < self.loss or self.is_blocked(source.name, target.name):
             return
         message = msgspec.msgpack.decode(ENCODER.encode(message), type=Message)  # a copy, as over a wire
-        self.at(self.now + self.draw.randint(*self.delay), lambda: self._arrive(source, target, message))
+        self.schedule(self.now + self.rng.randint(*self.delay), lambda: self._deliver(source, target, message))
 
-    def _arrive(self, source: Node, target: Node, message: Message) -> None:
+    def _deliver(self, source: Node, target: Node, message: Message) -> None:
         if target.running:
             if self.now < target.paused_until:
-                target.inbox.append(lambda: self._arrive(source, target, message))
+                target.inbox.append(lambda: self._deliver(source, target, message))
             else:
                 target.members.handle_message(self.now, source.name, source.generation, source.address, message)
 
@@ -99,23 +100,23 @@
         if self.now >= node.paused_until:
             node.members.tick(self.now)
             inbox, node.inbox = node.inbox, []
-            for arrive in inbox:
-                arrive()
-        self.at(max(self.now + self.tick, int(node.paused_until)), lambda: self._tick(node))
-
-    def run(self, span: int, until: Callable[[], bool] | None = None) -> int:
-        """Let time pass, or less once `until` holds; how long it took."""
-        began, end = self.now, self.now + span
-        while self.heap and self.heap[0][0] <= end:
-            self.now, _, act = heappop(self.heap)
-            act()
+            for deliver in inbox:
+                deliver()
+        self.schedule(max(self.now + self.tick_interval, int(node.paused_until)), lambda: self._tick(node))
+
+    def run(self, duration: int, until: Callable[[], bool] | None = None) -> int:
+        """Advances the time by `duration`, or less once `until` holds. Returns the time that passed."""
+        started_at, end = self.now, self.now + duration
+        while self.events and self.events[0][0] <= end:
+            self.now, _, action = heappop(self.events)
+            action()
             if until is not None and until():
-                return self.now - began
+                return self.now - started_at
         self.now = end
-        return span
+        return duration
 
-    def agree(self, names: set[str]) -> bool:
-        """Whether every running node of those names sees just those."""
+    def has_converged(self, names: set[str]) -> bool:
+        """Whether every running node among `names` sees exactly these members."""
         return all(
             set(node.members.active_members()) == names
             for node in self.nodes.values()
--- a/gingergap/membership/swim.py
+++ b/gingergap/membership/swim.py
@@ -1,10 +1,13 @@
-"""Failure detection and membership: SWIM (Das, Gupta, Motivala 2002) with Lifeguard's local health awareness, its
-suspicions that shorten with independent confirmations, and its buddy system (Dadgar, Phillips, Currey 2018).
+"""Failure detection and membership: SWIM (Das, Gupta, Motivala 2002) with the Lifeguard extensions (Dadgar, Phillips, Currey
+2018): local health awareness, suspicion timeouts that shorten with independent confirmations, and the buddy system.
 
-Each period one other member is pinged, in a shuffled round; without an answer some others are asked to ping it; then
-it is suspected, and unless it refutes the suspicion in time it is dead. What is learned rides on these messages, each
-bounded. Whoever is slow itself, or was stopped for a while, doubts itself first. No I/O; times in tenths of a
-millisecond of the own monotonic clock, which is the only clock used.
+In each period one other member is pinged, in a shuffled round-robin order. Without an ack some others are asked to ping it
+(ping-req). Without an ack from these either it is suspected, and unless it refutes the suspicion in time it is declared
+dead. Updates are piggybacked on these messages, a bounded number on each. A member that is slow, or was paused, raises its
+own timeouts before it suspects others.
+
+The protocol does no I/O: `MemberHost` performs its actions. All times are in tenths of a millisecond of the local
+monotonic clock, which is the only clock used.
 """
 
 import math
@@ -17,7 +20,7 @@
 
 
 class MemberState(IntEnum):
-    """In the order in which one word overrides another of the same incarnation."""
+    """In order of precedence: a higher state overrides a lower one of the same incarnation."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -26,7 +29,8 @@
 
 
 class Update(msgspec.Struct, array_like=True):
-    """A word on a member. `life` tells its starts apart; `by` who suspects it."""
+    """What one member knows of another. `generation` tells the runs of a member apart, by the time of its start;
+    `reporter` is the member that suspects it, if any."""
 
     name: str
     address: str
@@ -34,7 +38,7 @@
     incarnation: int
     state: int
     weight: int = 1
-    by: str = ""
+    reporter: str = ""
 
 
 class Ping(msgspec.Struct, array_like=True, tag="p"):
@@ -47,8 +51,8 @@
     updates: list[Update]
 
 
-class PingFor(msgspec.Struct, array_like=True, tag="r"):
-    """Ask another to ping a member and pass its answer on."""
+class PingRequest(msgspec.Struct, array_like=True, tag="r"):
+    """Asks the receiver to ping another member and to forward its ack (SWIM's ping-req)."""
 
     seq: int
     name: str
@@ -57,73 +61,89 @@
 
 
 class Nack(msgspec.Struct, array_like=True, tag="n"):
-    """I am there, but the one you asked me to ping does not answer me either."""
+    """The answer to a PingRequest whose target did not answer in time (Lifeguard)."""
 
     seq: int
 
 
 class Sync(msgspec.Struct, array_like=True, tag="s"):
-    """Part of the whole state, for those who missed updates. `answer` asks for the other's part."""
+    """Anti-entropy: a part of the sender's whole state, for members that missed updates. `reply_wanted` asks for one in
+    return."""
 
     updates: list[Update]
-    answer: bool
+    reply_wanted: bool
 
 
-Message = Ping | Ack | PingFor | Nack | Sync
+Message = Ping | Ack | PingRequest | Nack | Sync
 DECODER = msgspec.msgpack.Decoder(Message)
 ENCODER = msgspec.msgpack.Encoder()
-SECOND = 10_000
+SECOND = 10_000  # in tenths of a millisecond
 
 
 class MemberHost(Protocol):
     def send(self, to: str, address: str, message: Message) -> None:
-        """Send, perhaps in vain. `to` is empty where the name at the address is not known."""
+        """Send a message, unreliably. `to` is empty where the name of the member at the address is not known."""
 
     def member_up(self, name: str) -> None:
-        """A member is there, or there again with a new life."""
+        """A member joined, or joined again with a new generation."""
 
     def member_down(self, name: str, left: bool) -> None:
-        """A member is dead, or has left."""
+        """A member was declared dead, or left."""
 
     def name_taken(self, address: str) -> None:
-        """Another instance, older than this, runs under our name: this one stays out."""
+        """An older instance runs under this member's name at `address`: this instance suspends itself."""
 
 
 class Member:
-    """What is known of another."""
-
-    __slots__ = ("name", "address", "generation", "incarnation", "state", "weight", "state_since", "by", "deadline", "began")
-
-    def __init__(self, word: Update, now: int) -> None:
-        self.name, self.address, self.generation, self.weight = word.name, word.address, word.generation, word.weight
-        self.incarnation, self.state, self.state_since = word.incarnation, MemberState(word.state), now
-        self.by: set[str] = set()  # who has confirmed the suspicion
-        self.deadline = self.began = 0
-
-    def word(self, by: str = "") -> Update:
-        return Update(self.name, self.address, self.generation, self.incarnation, int(self.state), self.weight, by)
+    """What is known of another member."""
+
+    __slots__ = (
+        "name",
+        "address",
+        "generation",
+        "incarnation",
+        "state",
+        "weight",
+        "state_since",
+        "reporters",
+        "suspicion_deadline",
+        "suspected_at",
+    )
+
+    def __init__(self, update: Update, now: int) -> None:
+        self.name, self.address, self.generation, self.weight = update.name, update.address, update.generation, update.weight
+        self.incarnation, self.state, self.state_since = update.incarnation, MemberState(update.state), now
+        self.reporters: set[str] = set()  # members that confirmed the suspicion
+        self.suspicion_deadline = self.suspected_at = 0
+
+    def to_update(self, reporter: str = "") -> Update:
+        return Update(self.name, self.address, self.generation, self.incarnation, int(self.state), self.weight, reporter)
 
 
 class Probe:
-    """A ping of ours under way."""
+    """An unfinished probe of another member."""
 
-    __slots__ = ("target", "generation", "acked", "asked", "nacks")
+    __slots__ = ("target", "generation", "acked", "helper_count", "nacks")
 
     def __init__(self, target: str, generation: int) -> None:
         self.target, self.generation = target, generation
         self.acked = False
-        self.asked = self.nacks = 0
+        self.helper_count = self.nacks = 0
 
 
 class Membership:
-    """`period` between pings, `timeout` for a direct answer, `indirect` helpers; a suspicion lasts `patience` periods
-    times the logarithm of the size, and up to `widest` times that while nobody confirms it. `most_updates` ride on a
-    message. `seeds` are addresses where others may be found."""
+    """The protocol state of one member.
+
+    A probe starts every `period`; a direct ack is awaited for `timeout`, then `indirect_probes` helpers are asked. A
+    suspicion lasts `suspicion_multiplier` periods times the logarithm of the group's size, and up to
+    `max_suspicion_multiplier` times that while nobody confirms it. At most `max_updates` are piggybacked on a message.
+    `seeds` are addresses where other members may be found. Dead members are forgotten after `forget_after`.
+    """
 
     def __init__(
         self,
         host: MemberHost,
-        draw: Random,
+        rng: Random,
         now: int,
         name: str,
         address: str,
@@ -133,365 +153,375 @@
         seeds: tuple[str, ...] = (),
         period: int = 5_000,
         timeout: int = 1_500,
-        indirect: int = 3,
-        patience: float = 3.0,
-        widest: float = 4.0,
-        most_updates: int = 10,
+        indirect_probes: int = 3,
+        suspicion_multiplier: float = 3.0,
+        max_suspicion_multiplier: float = 4.0,
+        max_updates: int = 10,
         sync_interval: int = 50_000,
         forget_after: int = 600_000,
-        most_health: int = 8,
+        max_health_score: int = 8,
     ) -> None:
-        self.host, self.draw, self.now = host, draw, now
+        self.host, self.rng, self.now = host, rng, now
         self.name, self.address, self.generation, self.weight = name, address, generation, weight
         self.seeds = tuple(seed for seed in seeds if seed != address)
-        self.period, self.timeout, self.indirect = period, timeout, indirect
-        self.patience, self.widest, self.most_updates = patience, widest, most_updates
-        self.sync_interval, self.forget_after, self.most_health = sync_interval, forget_after, most_health
+        self.period, self.timeout, self.indirect_probes = period, timeout, indirect_probes
+        self.suspicion_multiplier, self.max_suspicion_multiplier, self.max_updates = (
+            suspicion_multiplier,
+            max_suspicion_multiplier,
+            max_updates,
+        )
+        self.sync_interval, self.forget_after, self.max_health_score = sync_interval, forget_after, max_health_score
         self.incarnation = 1
-        self.health_score = 0  # Lifeguard's local health multiplier, 0: well
+        self.health_score = 0  # Lifeguard's local health multiplier, 0: healthy
         self.others: dict[str, Member] = {}
         self.suspects: set[str] = set()
-        self.ring: list[str] = []
-        self.news: dict[str, tuple[Update, int]] = {}  # latest word by name, and how often it was sent
+        self.probe_order: list[str] = []
+        self.broadcasts: dict[str, tuple[Update, int]] = {}  # latest update by name, and how often it was sent
         self.probes: dict[int, Probe] = {}
-        self.relays: dict[int, tuple[str, str, int]] = {}  # own seq: who asked, where, under which seq
-        self.claims: dict[int, tuple[int, int, str]] = {}  # own seq: rival's life, incarnation, address
+        self.relays: dict[int, tuple[str, str, int]] = {}  # own seq: who asked, its address, its seq
+        self.conflict_checks: dict[int, tuple[int, int, str]] = {}  # own seq: rival's generation, incarnation, address
         self.seq = 0
-        self.heap: list[tuple[int, int, str, int]] = []
-        self.pushed = 0
-        self.last_due = now
+        self.timers: list[tuple[int, int, str, int]] = []  # heap of (time, serial number, timer's name, seq)
+        self.timer_count = 0
+        self.last_tick = now
         self.leaving = self.suspended = False
-        self.false_alarms = 0  # suspicions of us that we had to refute
-        self._say_own()
-        self._at(now + draw.randrange(period), "probe")
-        self._at(now + 1, "sync")
+        self.false_alarms = 0  # suspicions of this member that it refuted
+        self._announce_self()
+        self._schedule(now + rng.randrange(period), "probe")
+        self._schedule(now + 1, "sync")
 
-    # --- what can happen ---
+    # --- events ---
 
     def tick(self, now: int) -> None:
-        """Time has passed. To be called several times a timeout; a long gap means that we stood still."""
-        gap = now - self.last_due
+        """Run the timers that are due. To be called several times per `timeout`: a longer gap means that this process was
+        paused."""
+        gap = now - self.last_tick
         if gap > 2 * self.timeout:
-            # We were stopped, or starved: answers and refutations may lie unread, so every deadline moves by as much.
-            self.heap = [(when + gap, order, what, about) for when, order, what, about in self.heap]
+            # Acks and refutations that arrived during the pause may not have been read yet: extend every deadline by the gap.
+            self.timers = [(when + gap, serial, timer, seq) for when, serial, timer, seq in self.timers]
             for member in self.others.values():
-                member.deadline += gap
-                member.began += gap
-            self._unwell(2)
-        self.last_due = self.now = now
-        while self.heap and self.heap[0][0] <= now:
-            _, _, what, about = heappop(self.heap)
-            if self.suspended and what != "again":
+                member.suspicion_deadline += gap
+                member.suspected_at += gap
+            self._raise_health_score(2)
+        self.last_tick = self.now = now
+        while self.timers and self.timers[0][0] <= now:
+            _, _, timer, seq = heappop(self.timers)
+            if self.suspended and timer != "again":
                 continue
-            match what:
+            match timer:
                 case "probe":
-                    self._probe()
+                    self._start_probe()
                 case "indirect":
-                    self._ask_others(about)
+                    self._send_ping_requests(seq)
                 case "end":
-                    self._probe_over(about)
+                    self._finish_probe(seq)
                 case "nack":
-                    self._relay_over(about)
+                    self._finish_relay(seq)
                 case "claim":
-                    self._claim_over(about)
+                    self._finish_conflict_check(seq)
                 case "sync":
                     self._sync()
                 case "again":
-                    self._come_again()
+                    self._resume()
         if self.suspects and not self.suspended:
-            self._judge_suspicions()
+            self._expire_suspicions()
 
     def handle_message(self, now: int, sender: str, generation: int, address: str, message: Message) -> None:
-        """A message whose sender has been proven."""
+        """A message from an authenticated sender."""
         self.now = now
         if self.suspended:
             return
         match message:
             case Ping(seq, updates):
-                self._hear(updates)
-                self.host.send(sender, address, Ack(seq, self._riders(sender)))
+                self._apply_updates(updates)
+                self.host.send(sender, address, Ack(seq, self._piggyback(sender)))
             case Ack(seq, updates):
-                self._hear(updates)
-                self._acked(seq, sender, generation)
-            case PingFor(seq, name, there, updates):
-                self._hear(updates)
+                self._apply_updates(updates)
+                self._handle_ack(seq, sender, generation)
+            case PingRequest(seq, name, target_address, updates):
+                self._apply_updates(updates)
                 self.seq += 1
                 self.relays[self.seq] = sender, address, seq
-                self.host.send(name, there, Ping(self.seq, self._riders(name)))
-                self._at(now + self.timeout, "nack", self.seq)
+                self.host.send(name, target_address, Ping(self.seq, self._piggyback(name)))
+                self._schedule(now + self.timeout, "nack", self.seq)
             case Nack(seq):
                 probe = self.probes.get(seq)
                 if probe is not None:
                     probe.nacks += 1
-            case Sync(updates, answer):
-                self._hear(updates)
-                if answer:
-                    self.host.send(sender, address, Sync(self._part(), False))
+            case Sync(updates, reply_wanted):
+                self._apply_updates(updates)
+                if reply_wanted:
+                    self.host.send(sender, address, Sync(self._partial_state(), False))
 
     def leave(self, now: int) -> None:
-        """Say good-bye; the host goes on for some periods so that the word spreads."""
+        """Announce the departure. The host keeps calling `tick` for some periods so that the update spreads."""
         self.now = now
         self.leaving = True
-        self._say_own()
-        for member in self._some(list(self.others.values()), 4):
-            self.host.send(member.name, member.address, Ping(0, self._riders(member.name)))
+        self._announce_self()
+        for member in self._sample(list(self.others.values()), 4):
+            self.host.send(member.name, member.address, Ping(0, self._piggyback(member.name)))
 
-    # --- what others read ---
+    # --- queries ---
 
     def active_members(self) -> dict[str, int]:
-        """Names that count as there, oneself included, with their weights: suspects are there until they are dead."""
-        there = {member.name: member.weight for member in self.others.values() if member.state <= MemberState.SUSPECT}
+        """Names and weights of the members that count as present, this one included. Suspects count until they are dead."""
+        active = {member.name: member.weight for member in self.others.values() if member.state <= MemberState.SUSPECT}
         if not (self.leaving or self.suspended):
-            there[self.name] = self.weight
-        return there
+            active[self.name] = self.weight
+        return active
 
-    def size(self) -> int:
+    def active_count(self) -> int:
         return 1 + sum(member.state <= MemberState.SUSPECT for member in self.others.values())
 
     # --- probing ---
 
-    def _probe(self) -> None:
-        self._at(self.now + self.period * (1 + self.health_score), "probe")
-        while self.ring:
-            member = self.others.get(self.ring.pop())
+    def _start_probe(self) -> None:
+        self._schedule(self.now + self.period * (1 + self.health_score), "probe")
+        while self.probe_order:
+            member = self.others.get(self.probe_order.pop())
             if member is not None and member.state <= MemberState.SUSPECT:
                 break
         else:
-            self.ring = [name for name, one in self.others.items() if one.state <= MemberState.SUSPECT]
-            self.draw.shuffle(self.ring)
-            if not self.ring:
+            self.probe_order = [name for name, other in self.others.items() if other.state <= MemberState.SUSPECT]
+            self.rng.shuffle(self.probe_order)
+            if not self.probe_order:
                 return
-            member = self.others[self.ring.pop()]
+            member = self.others[self.probe_order.pop()]
         self.seq += 1
         self.probes[self.seq] = Probe(member.name, member.generation)
-        self.host.send(member.name, member.address, Ping(self.seq, self._riders(member.name)))
-        self._at(self.now + self.timeout * (1 + self.health_score), "indirect", self.seq)
-        self._at(self.now + self.period * (1 + self.health_score) - 1, "end", self.seq)
+        self.host.send(member.name, member.address, Ping(self.seq, self._piggyback(member.name)))
+        self._schedule(self.now + self.timeout * (1 + self.health_score), "indirect", self.seq)
+        self._schedule(self.now + self.period * (1 + self.health_score) - 1, "end", self.seq)
 
-    def _ask_others(self, seq: int) -> None:
+    def _send_ping_requests(self, seq: int) -> None:
         probe = self.probes.get(seq)
         if probe is None or probe.acked or probe.target not in self.others:
             return
         target = self.others[probe.target]
-        helpers = self._some(
-            [member for member in self.others.values() if member.state == MemberState.ALIVE and member is not target], self.indirect
+        helpers = self._sample(
+            [member for member in self.others.values() if member.state == MemberState.ALIVE and member is not target],
+            self.indirect_probes,
         )
-        probe.asked = len(helpers)
+        probe.helper_count = len(helpers)
         for helper in helpers:
-            self.host.send(helper.name, helper.address, PingFor(seq, target.name, target.address, self._riders(helper.name)))
-        # The datagram or its answer may just have been lost: one more try from here, as good as a helper's.
-        self.host.send(target.name, target.address, Ping(seq, self._riders(target.name)))
+            self.host.send(helper.name, helper.address, PingRequest(seq, target.name, target.address, self._piggyback(helper.name)))
+        # The ping or its ack may just have been lost: another direct ping is worth as much as one by a helper.
+        self.host.send(target.name, target.address, Ping(seq, self._piggyback(target.name)))
 
-    def _acked(self, seq: int, sender: str, generation: int) -> None:
+    def _handle_ack(self, seq: int, sender: str, generation: int) -> None:
         if seq in self.relays:
-            asker, address, theirs = self.relays.pop(seq)
-            self.host.send(asker, address, Ack(theirs, self._riders(asker)))
+            requester, address, requester_seq = self.relays.pop(seq)
+            self.host.send(requester, address, Ack(requester_seq, self._piggyback(requester)))
             return
-        if seq in self.claims:
-            rival, incarnation, address = self.claims[seq]
-            if sender == self.name and generation == rival:
-                del self.claims[seq]
-                self._rival_lives(rival, incarnation, address)
+        if seq in self.conflict_checks:
+            rival_generation, incarnation, address = self.conflict_checks[seq]
+            if sender == self.name and generation == rival_generation:
+                del self.conflict_checks[seq]
+                self._resolve_name_conflict(rival_generation, incarnation, address)
             return
         probe = self.probes.get(seq)
         if probe is not None and not probe.acked:
             probe.acked = True
             self.health_score = max(0, self.health_score - 1)
 
-    def _probe_over(self, seq: int) -> None:
+    def _finish_probe(self, seq: int) -> None:
         probe = self.probes.pop(seq, None)
         if probe is None or probe.acked:
             return
         member = self.others.get(probe.target)
-        # No answer from helpers either: the fault may be ours (Lifeguard section IV.A).
-        self._unwell(1 if probe.asked and probe.nacks < probe.asked else 0)
+        # If helpers did not answer either, the fault may be on this side (Lifeguard section IV.A).
+        self._raise_health_score(1 if probe.helper_count and probe.nacks < probe.helper_count else 0)
         if member is not None and member.generation == probe.generation and member.state == MemberState.ALIVE:
-            word = member.word(self.name)
-            word.state = int(MemberState.SUSPECT)
-            self._apply(word)
+            update = member.to_update(self.name)
+            update.state = int(MemberState.SUSPECT)
+            self._apply_update(update)
 
-    def _relay_over(self, seq: int) -> None:
+    def _finish_relay(self, seq: int) -> None:
         relay = self.relays.pop(seq, None)
         if relay is not None:
             self.host.send(relay[0], relay[1], Nack(relay[2]))
 
-    def _unwell(self, by: int) -> None:
-        self.health_score = min(self.most_health, self.health_score + by)
+    def _raise_health_score(self, amount: int) -> None:
+        self.health_score = min(self.max_health_score, self.health_score + amount)
 
     # --- suspicions ---
 
-    def _judge_suspicions(self) -> None:
+    def _expire_suspicions(self) -> None:
         for name in sorted(self.suspects):
             member = self.others.get(name)
             if member is None or member.state != MemberState.SUSPECT:
                 self.suspects.discard(name)
-            elif self.now >= member.deadline:
-                word = member.word()
-                word.state = int(MemberState.DEAD)
-                self._apply(word)
+            elif self.now >= member.suspicion_deadline:
+                update = member.to_update()
+                update.state = int(MemberState.DEAD)
+                self._apply_update(update)
 
-    def _forget_old(self) -> None:
+    def _forget_dead_members(self) -> None:
         for member in list(self.others.values()):
             if member.state >= MemberState.DEAD and self.now - member.state_since > self.forget_after:
                 del self.others[member.name]
-                self.news.pop(member.name, None)
+                self.broadcasts.pop(member.name, None)
 
-    def _suspicion(self, member: Member) -> int:
-        """How long a suspicion lasts: long while nobody confirms it, shorter with each who does (Lifeguard IV.B)."""
-        shortest = self.patience * max(1.0, math.log10(max(1, self.size()))) * self.period
-        wanted = min(3, self.size() - 2)
-        if wanted < 1:
+    def _suspicion_timeout(self, member: Member) -> int:
+        """The longest timeout while nobody confirms the suspicion, shorter with each confirmation (Lifeguard IV.B)."""
+        shortest = self.suspicion_multiplier * max(1.0, math.log10(max(1, self.active_count()))) * self.period
+        expected = min(3, self.active_count() - 2)
+        if expected < 1:
             return int(shortest)
-        longest = shortest * self.widest
-        confirmed = max(0, len(member.by) - 1)
-        part = math.log(confirmed + 1) / math.log(wanted + 1)
-        return int(max(shortest, longest - (longest - shortest) * part))
-
-    # --- what is heard ---
-
-    def _hear(self, updates: list[Update]) -> None:
-        for word in updates:
-            if word.name == self.name:
-                self._heard_of_self(word)
-            elif 0 <= word.state <= MemberState.LEFT:
-                self._apply(word)
-
-    def _apply(self, word: Update) -> None:
-        member = self.others.get(word.name)
+        longest = shortest * self.max_suspicion_multiplier
+        confirmed = max(0, len(member.reporters) - 1)
+        fraction = math.log(confirmed + 1) / math.log(expected + 1)
+        return int(max(shortest, longest - (longest - shortest) * fraction))
+
+    # --- received updates ---
+
+    def _apply_updates(self, updates: list[Update]) -> None:
+        for update in updates:
+            if update.name == self.name:
+                self._apply_own_update(update)
+            elif 0 <= update.state <= MemberState.LEFT:
+                self._apply_update(update)
+
+    def _apply_update(self, update: Update) -> None:
+        member = self.others.get(update.name)
         if member is None:
-            if word.state > MemberState.SUSPECT:
-                return  # nobody we knew
-            member = self.others[word.name] = Member(word, self.now)
-            self.ring.insert(self.draw.randrange(len(self.ring) + 1), word.name)
+            if update.state > MemberState.SUSPECT:
+                return  # an unknown member that is gone
+            member = self.others[update.name] = Member(update, self.now)
+            self.probe_order.insert(self.rng.randrange(len(self.probe_order) + 1), update.name)
             if member.state == MemberState.SUSPECT:
-                self._suspect(member, word.by)
-            self.news[word.name] = word, 0
-            self.host.member_up(word.name)
+                self._start_suspicion(member, update.reporter)
+            self.broadcasts[update.name] = update, 0
+            self.host.member_up(update.name)
             return
-        if (word.generation, word.incarnation, word.state) == (member.generation, member.incarnation, member.state):
-            if member.state == MemberState.SUSPECT and word.by and word.by not in member.by:
-                member.by.add(word.by)
-                member.deadline = member.began + self._suspicion(member)
-                if len(member.by) <= 4:
-                    self.news[word.name] = word, 0  # confirmations spread too, a few of them
+        if (update.generation, update.incarnation, update.state) == (member.generation, member.incarnation, member.state):
+            if member.state == MemberState.SUSPECT and update.reporter and update.reporter not in member.reporters:
+                member.reporters.add(update.reporter)
+                member.suspicion_deadline = member.suspected_at + self._suspicion_timeout(member)
+                if len(member.reporters) <= 4:
+                    self.broadcasts[update.name] = update, 0  # a few confirmations are spread too
             return
-        if word.generation == member.generation:
-            newer = (word.incarnation, word.state) > (member.incarnation, member.state)
+        if update.generation == member.generation:
+            newer = (update.incarnation, update.state) > (member.incarnation, member.state)
         else:
-            newer = (word.incarnation, -word.generation) > (member.incarnation, -member.generation)
+            newer = (update.incarnation, -update.generation) > (member.incarnation, -member.generation)
         if not newer:
             return
-        was, another = member.state, word.generation != member.generation
-        member.address, member.generation, member.weight = word.address, word.generation, word.weight
-        member.incarnation, member.state, member.state_since = word.incarnation, MemberState(word.state), self.now
-        member.by = set()
-        self.news[word.name] = word, 0
+        previous_state, restarted = member.state, update.generation != member.generation
+        member.address, member.generation, member.weight = update.address, update.generation, update.weight
+        member.incarnation, member.state, member.state_since = update.incarnation, MemberState(update.state), self.now
+        member.reporters = set()
+        self.broadcasts[update.name] = update, 0
         if member.state == MemberState.SUSPECT:
-            self._suspect(member, word.by)
-        there = member.state <= MemberState.SUSPECT
-        if was <= MemberState.SUSPECT and (not there or another):
-            self.host.member_down(word.name, member.state == MemberState.LEFT)
-        if there and (was > MemberState.SUSPECT or another):
-            self.host.member_up(word.name)
-
-    def _suspect(self, member: Member, by: str) -> None:
+            self._start_suspicion(member, update.reporter)
+        active = member.state <= MemberState.SUSPECT
+        if previous_state <= MemberState.SUSPECT and (not active or restarted):
+            self.host.member_down(update.name, member.state == MemberState.LEFT)
+        if active and (previous_state > MemberState.SUSPECT or restarted):
+            self.host.member_up(update.name)
+
+    def _start_suspicion(self, member: Member, reporter: str) -> None:
         self.suspects.add(member.name)
-        member.by = {by} if by else set()
-        member.began = self.now
-        member.deadline = self.now + self._suspicion(member)
-
-    def _heard_of_self(self, word: Update) -> None:
-        if word.generation == self.generation:
-            if word.state != MemberState.ALIVE and word.incarnation >= self.incarnation and not self.leaving:
-                self.incarnation = word.incarnation + 1
+        member.reporters = {reporter} if reporter else set()
+        member.suspected_at = self.now
+        member.suspicion_deadline = self.now + self._suspicion_timeout(member)
+
+    def _apply_own_update(self, update: Update) -> None:
+        if update.generation == self.generation:
+            if update.state != MemberState.ALIVE and update.incarnation >= self.incarnation and not self.leaving:
+                self.incarnation = update.incarnation + 1
                 self.false_alarms += 1
-                self._unwell(1)
-                self._say_own()
+                self._raise_health_score(1)
+                self._announce_self()
             return
-        if word.incarnation < self.incarnation:
+        if update.incarnation < self.incarnation:
             return  # superseded already
-        if word.state > MemberState.SUSPECT or word.address == self.address:
-            self.incarnation = word.incarnation + 1  # our own life before this one
-            self._say_own()
-        elif not any(rival == word.generation for rival, _, _ in self.claims.values()):
-            # Somebody runs under our name elsewhere, or did a moment ago: ask there.
+        if update.state > MemberState.SUSPECT or update.address == self.address:
+            self.incarnation = update.incarnation + 1  # an earlier run of this member
+            self._announce_self()
+        elif not any(rival == update.generation for rival, _, _ in self.conflict_checks.values()):
+            # Another instance runs, or ran until a moment ago, under this name at another address: ping it.
             self.seq += 1
-            self.claims[self.seq] = word.generation, word.incarnation, word.address
-            self.host.send("", word.address, Ping(self.seq, []))
-            self._at(self.now + 2 * self.timeout, "claim", self.seq)
-
-    def _claim_over(self, seq: int) -> None:
-        claim = self.claims.pop(seq, None)
-        if claim is not None:  # nobody answered there
-            self.incarnation = max(self.incarnation, claim[1] + 1)
-            self._say_own()
-
-    def _rival_lives(self, generation: int, incarnation: int, address: str) -> None:
-        """Two instances under one name: the younger stays out, and asks again later."""
+            self.conflict_checks[self.seq] = update.generation, update.incarnation, update.address
+            self.host.send("", update.address, Ping(self.seq, []))
+            self._schedule(self.now + 2 * self.timeout, "claim", self.seq)
+
+    def _finish_conflict_check(self, seq: int) -> None:
+        check = self.conflict_checks.pop(seq, None)
+        if check is not None:  # no answer: the other instance is gone
+            self.incarnation = max(self.incarnation, check[1] + 1)
+            self._announce_self()
+
+    def _resolve_name_conflict(self, generation: int, incarnation: int, address: str) -> None:
+        """Two instances run under one name: the younger one suspends itself and tries again later."""
         if generation < self.generation:
             self.suspended = True
-            self._at(self.now + 20 * self.period, "again")
+            self._schedule(self.now + 20 * self.period, "again")
             self.host.name_taken(address)
         else:
             self.incarnation = max(self.incarnation, incarnation + 1)
-            self._say_own()
+            self._announce_self()
 
-    def _come_again(self) -> None:
+    def _resume(self) -> None:
         self.suspended = False
-        self.heap.clear()
-        self._at(self.now + self.period, "probe")
-        self._at(self.now + 1, "sync")
+        self.timers.clear()
+        self._schedule(self.now + self.period, "probe")
+        self._schedule(self.now + 1, "sync")
 
-    # --- spreading ---
+    # --- dissemination ---
 
-    def _say_own(self) -> None:
-        self.news[self.name] = self._own(), 0
+    def _announce_self(self) -> None:
+        self.broadcasts[self.name] = self._own_update(), 0
 
-    def _own(self) -> Update:
+    def _own_update(self) -> Update:
         state = MemberState.LEFT if self.leaving else MemberState.ALIVE
         return Update(self.name, self.address, self.generation, self.incarnation, int(state), self.weight)
 
-    def _riders(self, to: str) -> list[Update]:
-        """What rides on a message: a suspicion of the receiver first, so that it can refute; then what was sent least.
-        Each word is sent some three times the logarithm of the size, which reaches all with high chance (SWIM 4.1)."""
-        riders = []
+    def _piggyback(self, to: str) -> list[Update]:
+        """The updates for one message: first a suspicion of its receiver, so that it can refute it, then those sent least
+        often. Each update is sent about three times the logarithm of the group's size, which reaches all members with
+        high probability (SWIM 4.1)."""
+        updates = []
         member = self.others.get(to)
         if member is not None and member.state != MemberState.ALIVE:
-            riders.append(member.word(next(iter(sorted(member.by)), "")))
-        limit = math.ceil(3 * math.log2(self.size() + 1))
-        for name in sorted(self.news, key=lambda one: self.news[one][1])[: self.most_updates]:
-            word, sent = self.news[name]
-            riders.append(word)
-            if sent + 1 >= limit:
-                del self.news[name]
+            updates.append(member.to_update(next(iter(sorted(member.reporters)), "")))
+        max_transmissions = math.ceil(3 * math.log2(self.active_count() + 1))
+        for name in sorted(self.broadcasts, key=lambda key: self.broadcasts[key][1])[: self.max_updates]:
+            update, sent = self.broadcasts[name]
+            updates.append(update)
+            if sent + 1 >= max_transmissions:
+                del self.broadcasts[name]
             else:
-                self.news[name] = word, sent + 1
-        return riders[: self.most_updates]
+                self.broadcasts[name] = update, sent + 1
+        return updates[: self.max_updates]
 
-    def _part(self) -> list[Update]:
-        """A bounded part of the whole state: oneself and random others, the gone among them."""
-        some = self._some(list(self.others.values()), 8 * self.most_updates)
-        return [self._own(), *(member.word() for member in some)]
+    def _partial_state(self) -> list[Update]:
+        """A bounded part of the whole state: this member and a random sample of the others, dead ones included."""
+        sample = self._sample(list(self.others.values()), 8 * self.max_updates)
+        return [self._own_update(), *(member.to_update() for member in sample)]
 
     def _sync(self) -> None:
-        """Mend what updates missed, with one who is there; and knock where the dead and the seeds are or were, so that
-        the parts of a split find each other again."""
-        self._forget_old()
-        there = [member for member in self.others.values() if member.state <= MemberState.SUSPECT]
-        for member in self._some(there, 1):
-            self.host.send(member.name, member.address, Sync(self._part(), True))
-        known = {member.address for member in there}
-        gone = [member.address for member in self.others.values() if member.state == MemberState.DEAD]
-        strangers = sorted(set(gone) | set(self.seeds) - known)
-        for address in self._some(strangers, 2 if there else 4):
-            self.host.send("", address, Sync(self._part(), True))
-        # One event, whatever the case: a second one for the lonely doubled their number each time they stayed alone.
-        alone = not there and self.seeds
-        self._at(self.now + (self.period if alone else self.sync_interval // 2 + self.draw.randrange(self.sync_interval)), "sync")
-
-    def _some(self, pool: list, many: int) -> list:
-        return self.draw.sample(pool, min(many, len(pool)))
-
-    def _at(self, when: int, what: str, about: int = 0) -> None:
-        self.pushed += 1
-        heappush(self.heap, (when, self.pushed, what, about))
+        """Exchange state with one active member, to repair missed updates, and with some addresses of dead members and
+        seeds, so that the sides of a partition find each other again."""
+        self._forget_dead_members()
+        active = [member for member in self.others.values() if member.state <= MemberState.SUSPECT]
+        for member in self._sample(active, 1):
+            self.host.send(member.name, member.address, Sync(self._partial_state(), True))
+        known = {member.address for member in active}
+        dead = [member.address for member in self.others.values() if member.state == MemberState.DEAD]
+        candidates = sorted(set(dead) | set(self.seeds) - known)
+        for address in self._sample(candidates, 2 if active else 4):
+            self.host.send("", address, Sync(self._partial_state(), True))
+        # Exactly one timer in every case: with a second one for a member without others, the number of timers doubled at
+        # each sync while it stayed alone.
+        alone = not active and self.seeds
+        self._schedule(
+            self.now + (self.period if alone else self.sync_interval // 2 + self.rng.randrange(self.sync_interval)), "sync"
+        )
+
+    def _sample(self, pool: list, count: int) -> list:
+        return self.rng.sample(pool, min(count, len(pool)))
+
+    def _schedule(self, when: int, timer: str, seq: int = 0) -> None:
+        self.timer_count += 1
+        heappush(self.timers, (when, self.timer_count, timer, seq))
