--- a/gingergap/duties/__init__.py
+++ b/gingergap/duties/__init__.py
@@ -1,2 +1,2 @@
-"""Periodic duties shared by proxies that may coordinate: who does which, under which lease, and fenced by tokens. Decisions
-without I/O; the edge runs them (edge/coordination.py)."""
+"""Periodic duties shared among coordinating proxies: which proxy performs each one, under a lease granted by a majority and
+with fencing tokens. A protocol without I/O; the edge performs its actions (edge/coordination.py)."""
--- a/gingergap/duties/messages.py
+++ b/gingergap/duties/messages.py
@@ -1,9 +1,11 @@
-"""What members say to each other about duties."""
+"""Messages between members about duties. Times in tenths of a millisecond."""
 
 import msgspec
 
 
 class VoteRequest(msgspec.Struct, array_like=True, tag="ask"):
+    """`done_ago` is the time since the sender last performed the duty, -1 for never."""
+
     duty: str
     counter: int
     holder: str
@@ -12,10 +14,12 @@
 
 
 class Vote(msgspec.Struct, array_like=True, tag="vote"):
+    """`highest_counter` is the highest counter of the duty that the voter has seen."""
+
     duty: str
     counter: int
     granted: bool
-    newest: int
+    highest_counter: int
 
 
 class LeaseRelease(msgspec.Struct, array_like=True, tag="rel"):
@@ -25,13 +29,13 @@
 
 
 class DutyResult(msgspec.Struct, array_like=True, tag="learned"):
-    """What a duty brought: `what` it is about, a value (ms or a version; -1: no answer), and how long ago (tenths of
-    a millisecond) it was learned. Shared so that the price is paid once."""
+    """The result of a duty, shared so that the work is done once: `subject` says what the value is of, `value` is in ms or a
+    version (-1: no answer), and `age` is the time since it was obtained."""
 
     duty: str
     counter: int
     holder: str
-    what: str
+    subject: str
     value: float
     age: int
 
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -1,5 +1,5 @@
-"""Duties by model: members with clocks of their own, a network that does as it likes, standstills, kills and splits. What
-is judged is the place that a duty touches and true time, which nobody but the judge sees."""
+"""Duties in a model: members with clocks of their own, an unreliable network, pauses, kills and partitions. The tests judge by
+the resource that a duty acts on and by the true time, which no member knows."""
 
 from collections import Counter
 from heapq import heappop, heappush
@@ -9,33 +9,33 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gingergap.duties.leases import Claim, FencingToken, TokenFence, Voter
+from gingergap.duties.leases import FencingToken, LeaseClaim, TokenFence, Voter
 from gingergap.duties.manager import Duty, DutyManager
 from gingergap.duties.placement import rank_members
 
 SECOND = 10_000
-ONCE = Duty("probe", 2 * SECOND, 12 * SECOND, exclusive=True)
-LEAST = Duty("sweep", 2 * SECOND, 12 * SECOND, exclusive=False)
+EXCLUSIVE = Duty("probe", 2 * SECOND, 12 * SECOND, exclusive=True)
+SHARED = Duty("sweep", 2 * SECOND, 12 * SECOND, exclusive=False)
 LEASE_DURATION, CLOCK_ERROR = 30_000, 0.02
 
 
 class Instance:
-    """A member with a clock that runs at a rate of its own from a time of its own."""
+    """A running member, and the host of its DutyManager. Its clock has a rate and an offset of its own."""
 
-    def __init__(self, world, name, life, duties):
-        self.world, self.name, self.life = world, name, life
-        self.rate = 1 + world.draw.uniform(-CLOCK_ERROR, CLOCK_ERROR)
-        self.offset = world.draw.randrange(10**9)
+    def __init__(self, world, name, generation, duties):
+        self.world, self.name, self.generation = world, name, generation
+        self.rate = 1 + world.rng.uniform(-CLOCK_ERROR, CLOCK_ERROR)
+        self.offset = world.rng.randrange(10**9)
         self.paused_until = 0
         self.running = True
-        self.inbox, self.began = [], {}
-        self.acts = Counter()
-        self.keeper = DutyManager(
+        self.inbox, self.due_at = [], {}
+        self.effects = Counter()
+        self.manager = DutyManager(
             self,
-            Random(f"{name}{life}{world.seed}"),
+            Random(f"{name}{generation}{world.seed}"),
             self.clock(),
             name,
-            life,
+            generation,
             frozenset(world.names),
             duties,
             lease_duration=LEASE_DURATION,
@@ -45,40 +45,42 @@
     def clock(self):
         return int(self.world.now * self.rate) + self.offset
 
-    def request_votes(self, duty, token, lasts, done_ago):
+    def request_votes(self, duty, token, lease_duration, done_ago):
         for other in self.world.names:
             if other != self.name:
-                self.world.send(self.name, other, lambda one: one.vote(self.name, duty, token, lasts, done_ago))
+                self.world.send(self.name, other, lambda instance: instance.vote(self.name, duty, token, lease_duration, done_ago))
 
-    def vote(self, asker, duty, token, lasts, done_ago):
-        granted, newest = self.keeper.handle_vote_request(self.clock(), duty, token, lasts, done_ago)
-        me = self.name
+    def vote(self, requester, duty, token, lease_duration, done_ago):
+        granted, highest_counter = self.manager.handle_vote_request(self.clock(), duty, token, lease_duration, done_ago)
+        voter = self.name
         self.world.send(
-            me,
-            asker,
-            lambda one: one.keeper.handle_vote(one.clock(), me, duty, token.counter, granted, newest, one.world.present(one)),
+            voter,
+            requester,
+            lambda instance: instance.manager.handle_vote(
+                instance.clock(), voter, duty, token.counter, granted, highest_counter, instance.world.active_members(instance)
+            ),
         )
 
     def release_lease(self, duty, token):
         for other in self.world.names:
             if other != self.name:
-                self.world.send(self.name, other, lambda one: one.keeper.handle_release(one.clock(), duty, token))
+                self.world.send(self.name, other, lambda instance: instance.manager.handle_release(instance.clock(), duty, token))
 
     def start_duty(self, duty, token, first_in):
-        self.began[duty.name] = self.clock() + first_in
+        self.due_at[duty.name] = self.clock() + first_in
 
     def stop_duty(self, duty):
-        self.began.pop(duty.name, None)
+        self.due_at.pop(duty.name, None)
 
     def step(self):
         now = self.clock()
-        self.keeper.tick(now, self.world.present(self))
-        for name, when in list(self.began.items()):
-            if now >= when and self.keeper.may_act(now, name):
-                self.began[name] = now + self.keeper.states[name].duty.period
-                token = self.keeper.token_of(name)
-                # Between the look at the lease and the effect anything may happen, a long standstill too.
-                self.world.at(
+        self.manager.tick(now, self.world.active_members(self))
+        for name, when in list(self.due_at.items()):
+            if now >= when and self.manager.may_act(now, name):
+                self.due_at[name] = now + self.manager.states[name].duty.period
+                token = self.manager.token_of(name)
+                # Between the check of the lease and the effect anything may happen, a long pause too.
+                self.world.schedule(
                     self.world.now + self.world.effect_delay(self),
                     lambda name=name, token=token: self.world.effect(self, name, token),
                 )
@@ -86,192 +88,200 @@
 
 class World:
     def __init__(self, seed, count, duties, fence=None, loss=0.1):
-        self.seed, self.draw, self.loss = seed, Random(seed), loss
-        self.now, self.heap, self.pushed = 0, [], 0
+        self.seed, self.rng, self.loss = seed, Random(seed), loss
+        self.now, self.events, self.event_count = 0, [], 0
         self.names = [f"m{number}" for number in range(count)]
         self.duties = {duty.name: duty for duty in duties}
-        self.lag = self.draw.choice([0, SECOND // 2, 3 * SECOND])  # of what membership says
-        self.cut = lambda source, target: False
+        self.membership_lag = self.rng.choice([0, SECOND // 2, 3 * SECOND])
+        self.is_blocked = lambda source, target: False
         self.fence = fence or TokenFence(3 * SECOND)
         self.accepted = {duty.name: [] for duty in duties}  # (true time, instance, token)
-        self.refused = 0
+        self.rejected = 0
         self.instances = {}
-        self.seen = {}
+        self.views = {}
         for name in self.names:
             self.start(name, 1)
 
-    def start(self, name, life):
-        self.instances[name] = Instance(self, name, life, list(self.duties.values()))
+    def start(self, name, generation):
+        self.instances[name] = Instance(self, name, generation, list(self.duties.values()))
         self.tick(self.instances[name])
 
     def stop(self, name):
         self.instances.pop(name).running = False
 
-    def at(self, when, act):
-        self.pushed += 1
-        heappush(self.heap, (when, self.pushed, act))
+    def schedule(self, when, action):
+        self.event_count += 1
+        heappush(self.events, (when, self.event_count, action))
 
-    def send(self, source, target, act):
-        if self.draw.random() < self.loss or self.cut(source, target):
+    def send(self, source, target, action):
+        if self.rng.random() < self.loss or self.is_blocked(source, target):
             return
-        delay = 5 + (self.draw.randrange(3 * SECOND) if self.draw.random() < 0.05 else self.draw.randrange(200))
-        for _ in range(2 if self.draw.random() < 0.05 else 1):
-            self.at(self.now + delay, lambda: self.arrive(target, act))
+        delay = 5 + (self.rng.randrange(3 * SECOND) if self.rng.random() < 0.05 else self.rng.randrange(200))
+        for _ in range(2 if self.rng.random() < 0.05 else 1):
+            self.schedule(self.now + delay, lambda: self.deliver(target, action))
 
-    def arrive(self, target, act):
-        one = self.instances.get(target)
-        if one is None:
+    def deliver(self, target, action):
+        instance = self.instances.get(target)
+        if instance is None:
             return
-        if self.now < one.paused_until:
-            one.inbox.append(act)
+        if self.now < instance.paused_until:
+            instance.inbox.append(action)
         else:
-            act(one)
+            action(instance)
 
-    def tick(self, one):
-        if not one.running:
+    def tick(self, instance):
+        if not instance.running:
             return
-        if self.now >= one.paused_until:
-            inbox, one.inbox = one.inbox, []
-            for act in inbox:
-                act(one)
-            one.step()
-        self.at(max(self.now + 500, one.paused_until), lambda: self.tick(one))
-
-    def present(self, one):
-        """What membership would say, some seconds late."""
-        there = {
+        if self.now >= instance.paused_until:
+            inbox, instance.inbox = instance.inbox, []
+            for action in inbox:
+                action(instance)
+            instance.step()
+        self.schedule(max(self.now + 500, instance.paused_until), lambda: self.tick(instance))
+
+    def active_members(self, instance):
+        """What the membership protocol would report to the instance, `membership_lag` late."""
+        active = {
             name: 1
             for name in self.names
-            if name in self.instances and not self.cut(one.name, name) and (self.now < self.instances[name].paused_until) < 1
+            if name in self.instances
+            and not self.is_blocked(instance.name, name)
+            and (self.now < self.instances[name].paused_until) < 1
         }
-        there[one.name] = 1
-        late = self.seen.setdefault(one.name, [])
-        late.append((self.now, there))
-        while len(late) > 1 and late[1][0] <= self.now - self.lag:
-            late.pop(0)
-        return {**late[0][1], one.name: 1}
-
-    def effect_delay(self, one):
+        active[instance.name] = 1
+        views = self.views.setdefault(instance.name, [])
+        views.append((self.now, active))
+        while len(views) > 1 and views[1][0] <= self.now - self.membership_lag:
+            views.pop(0)
+        return {**views[0][1], instance.name: 1}
+
+    def effect_delay(self, instance):
         return 10
 
-    def effect(self, one, name, token):
-        if not one.running:
+    def effect(self, instance, name, token):
+        if not instance.running:
             return
-        if self.now < one.paused_until:
-            self.at(one.paused_until + 1, lambda: self.effect(one, name, token))
+        if self.now < instance.paused_until:
+            self.schedule(instance.paused_until + 1, lambda: self.effect(instance, name, token))
             return
-        now = one.clock()
+        now = instance.clock()
         if self.fence.admit(self.now, name, token, self.duties[name].exclusive):
-            self.accepted[name].append((self.now, one.name, token))
-            one.acts[name] += 1
-            one.keeper.record_success(now, name)
+            self.accepted[name].append((self.now, instance.name, token))
+            instance.effects[name] += 1
+            instance.manager.record_success(now, name)
         else:
-            self.refused += 1
-            one.keeper.handle_stale_token(now, name, self.fence.newest[name][0])
-
-    def run(self, span):
-        end = self.now + span
-        while self.heap and self.heap[0][0] <= end:
-            self.now, _, act = heappop(self.heap)
-            act()
-            self.judge()
+            self.rejected += 1
+            instance.manager.handle_stale_token(now, name, self.fence.newest[name][0])
+
+    def run(self, duration):
+        end = self.now + duration
+        while self.events and self.events[0][0] <= end:
+            self.now, _, action = heappop(self.events)
+            action()
+            self.check_exclusive_leases()
         self.now = end
 
-    def judge(self):
-        """Never two who by their own clocks may act on a duty that is done once at most."""
+    def check_exclusive_leases(self):
+        """Never two instances that by their own clocks may act on an exclusive duty."""
         for name, duty in self.duties.items():
             if duty.exclusive:
-                holders = [one.name for one in self.instances.values() if one.keeper.may_act(one.clock(), name)]
+                holders = [
+                    instance.name for instance in self.instances.values() if instance.manager.may_act(instance.clock(), name)
+                ]
                 assert len(holders) <= 1, (self.now, holders)
 
-    def gaps(self, name, since=0):
+    def longest_gap(self, name, since=0):
         times = [when for when, _, _ in self.accepted[name] if when >= since]
         return max((b - a for a, b in zip(times, times[1:], strict=False)), default=0)
 
 
-def tokens_never_go_back(world, name):
+def assert_tokens_never_decrease(world, name):
     tokens = [token for _, _, token in world.accepted[name]]
     assert tokens == sorted(tokens)
 
 
-def trouble(world, rounds):
-    """Anything, in any order: kills, restarts, standstills, splits, one-way losses, and calm."""
-    draw = world.draw
-    life = 2
+def inject_faults(world, rounds):
+    """Kills, restarts, pauses, partitions, one-way losses and quiet times, in random order."""
+    rng = world.rng
+    generation = 2
     for _ in range(rounds):
-        what = draw.choice(["pause", "pause", "kill", "split", "one-way", "calm", "all"])
-        name = draw.choice(world.names)
-        if what == "pause" and name in world.instances:
-            world.instances[name].paused_until = world.now + draw.randrange(3 * LEASE_DURATION)
-        elif what == "kill" and name in world.instances:
+        fault = rng.choice(["pause", "pause", "kill", "split", "one-way", "calm", "all"])
+        name = rng.choice(world.names)
+        if fault == "pause" and name in world.instances:
+            world.instances[name].paused_until = world.now + rng.randrange(3 * LEASE_DURATION)
+        elif fault == "kill" and name in world.instances:
             world.stop(name)
-        elif what == "split":
-            side = {one: draw.randrange(2) for one in world.names}
-            world.cut = lambda source, target, side=side: side[source] != side[target]
-        elif what == "one-way":
-            world.cut = lambda source, target, name=name: source == name
-        elif what == "calm":
-            world.cut = lambda source, target: False
-        elif what == "all":
-            for one in list(world.instances):
-                world.stop(one)
-        world.run(draw.randrange(6 * SECOND))
-        for one in world.names:
-            if one not in world.instances and draw.random() < 0.6:
-                world.start(one, life)
-                life += 1
-    world.cut = lambda source, target: False
-    for one in world.names:
-        if one not in world.instances:
-            world.start(one, life)
+        elif fault == "split":
+            side = {other: rng.randrange(2) for other in world.names}
+            world.is_blocked = lambda source, target, side=side: side[source] != side[target]
+        elif fault == "one-way":
+            world.is_blocked = lambda source, target, name=name: source == name
+        elif fault == "calm":
+            world.is_blocked = lambda source, target: False
+        elif fault == "all":
+            for other in list(world.instances):
+                world.stop(other)
+        world.run(rng.randrange(6 * SECOND))
+        for other in world.names:
+            if other not in world.instances and rng.random() < 0.6:
+                world.start(other, generation)
+                generation += 1
+    world.is_blocked = lambda source, target: False
+    for other in world.names:
+        if other not in world.instances:
+            world.start(other, generation)
 
 
 @pytest.mark.parametrize("seed", range(25))
-def test_whatever_happens_one_holder_and_tokens_that_never_go_back(seed):
-    world = World(seed, 3 + seed % 3, [ONCE, LEAST])
-    trouble(world, 12)
-    calm = world.now
+def test_under_any_faults_there_is_one_holder_and_tokens_never_decrease(seed):
+    world = World(seed, 3 + seed % 3, [EXCLUSIVE, SHARED])
+    inject_faults(world, 12)
+    calm_since = world.now
     world.run(60 * SECOND)
-    tokens_never_go_back(world, "probe")
+    assert_tokens_never_decrease(world, "probe")
     for name in ("probe", "sweep"):
-        done = [when for when, _, _ in world.accepted[name] if when > calm]
-        assert done and done[0] - calm < 25 * SECOND  # and once it is calm it is done again
-        assert world.gaps(name, calm) < ONCE.limit
+        done = [when for when, _, _ in world.accepted[name] if when > calm_since]
+        assert done and done[0] - calm_since < 25 * SECOND  # performed again once the faults are over
+        assert world.longest_gap(name, calm_since) < EXCLUSIVE.limit
 
 
-def broken_worlds(change, seeds=40):
-    """How many of the seeds show a fault once the code is changed."""
+def count_failing_seeds(change, seeds=40):
+    """How many of the seeds show a violation once `change` has weakened the world. Guards against a model that finds
+    nothing."""
     found = 0
     for seed in range(seeds):
-        world = World(seed, 3 + seed % 3, [ONCE])
+        world = World(seed, 3 + seed % 3, [EXCLUSIVE])
         change(world)
         try:
-            trouble(world, 12)
+            inject_faults(world, 12)
             world.run(20 * SECOND)
-            tokens_never_go_back(world, "probe")
+            assert_tokens_never_decrease(world, "probe")
         except AssertionError:
             found += 1
     return found
 
 
-def test_without_the_fence_the_model_finds_the_fault():
+def test_the_model_detects_a_missing_fence():
     def change(world):
         world.fence.admit = lambda *args: world.fence.newest.update({args[1]: (args[2], args[0])}) or True
 
-    assert broken_worlds(change) > 0
+    assert count_failing_seeds(change) > 0
 
 
-def test_with_leases_that_outlast_the_votes_the_model_finds_the_fault(monkeypatch):
-    monkeypatch.setattr(Claim, "holds", lambda self, now: self.held_until >= 0 and now < self.held_until + LEASE_DURATION)
-    assert broken_worlds(lambda world: None) > 0
+def test_the_model_detects_leases_that_outlast_the_votes(monkeypatch):
+    monkeypatch.setattr(
+        LeaseClaim, "is_held", lambda self, now: self.lease_expires_at >= 0 and now < self.lease_expires_at + LEASE_DURATION
+    )
+    assert count_failing_seeds(lambda world: None) > 0
 
 
-def lease_and_restart(world):
-    """The holder is cut off, and the others start anew at once, knowing nothing of what they granted."""
-    world.lag = 0
+def isolate_holder_and_restart_voters(world):
+    """The holder is partitioned off, and the other members restart at once, without knowledge of what they granted. Returns
+    who acted after that, and the holder."""
+    world.membership_lag = 0
     world.run(30 * SECOND)
     holder = world.accepted["probe"][-1][1]
-    world.cut = lambda source, target: holder in (source, target)
+    world.is_blocked = lambda source, target: holder in (source, target)
     for name in world.names:
         if name != holder:
             world.stop(name)
@@ -281,129 +291,129 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_voters_that_start_anew_wait_until_what_they_granted_is_over(seed):
-    late, holder = lease_and_restart(World(seed, 3, [ONCE], loss=0))
-    assert late and holder not in late
+def test_restarted_voters_abstain_until_what_they_granted_has_expired(seed):
+    later_holders, holder = isolate_holder_and_restart_voters(World(seed, 3, [EXCLUSIVE], loss=0))
+    assert later_holders and holder not in later_holders
 
 
-def test_with_voters_that_speak_right_after_a_restart_the_model_finds_the_fault(monkeypatch):
-    start = Voter.__init__
+def test_the_model_detects_voters_that_do_not_abstain_after_a_restart(monkeypatch):
+    original_init = Voter.__init__
 
-    def forgetful(self, now, longest, error):
-        start(self, now, longest, error)
-        self.mute_until = now
+    def init_without_abstaining(self, now, max_lease_duration, clock_error):
+        original_init(self, now, max_lease_duration, clock_error)
+        self.abstain_until = now
 
-    monkeypatch.setattr(Voter, "__init__", forgetful)
+    monkeypatch.setattr(Voter, "__init__", init_without_abstaining)
     found = 0
     for seed in range(10):
         try:
-            lease_and_restart(World(seed, 3, [ONCE], loss=0))
+            isolate_holder_and_restart_voters(World(seed, 3, [EXCLUSIVE], loss=0))
         except AssertionError:
             found += 1
     assert found > 0
 
 
-def test_a_standstill_in_the_middle_of_the_work_does_no_harm():
-    world = World(3, 5, [ONCE], loss=0)
+def test_a_pause_between_the_check_of_the_lease_and_the_effect_does_no_harm():
+    world = World(3, 5, [EXCLUSIVE], loss=0)
     world.run(30 * SECOND)
     holder = world.accepted["probe"][-1][1]
-    one = world.instances[holder]
+    paused = world.instances[holder]
     pause = world.now + 3 * LEASE_DURATION
-    world.effect_delay = lambda who: 10 if who is not one else max(10, pause - world.now + 20)
+    world.effect_delay = lambda instance: 10 if instance is not paused else max(10, pause - world.now + 20)
     before = len(world.accepted["probe"])
-    while not any(act for act in world.heap if act[0] > pause - 10) and world.now < 60 * SECOND:
+    while not any(event for event in world.events if event[0] > pause - 10) and world.now < 60 * SECOND:
         world.run(SECOND // 10)
-    one.paused_until = pause
+    paused.paused_until = pause
     world.run(4 * LEASE_DURATION)
     others = [name for _, name, _ in world.accepted["probe"][before:] if name != holder]
     assert others  # taken over
-    assert world.refused >= 1  # and what the sleeper brought on waking was refused
-    tokens_never_go_back(world, "probe")
+    assert world.rejected >= 1  # the effect of the paused instance was rejected when it resumed
+    assert_tokens_never_decrease(world, "probe")
 
 
-def test_each_time_is_done_about_once():
-    world = World(1, 5, [ONCE, LEAST], loss=0.02)
+def test_each_duty_is_performed_about_once_per_period():
+    world = World(1, 5, [EXCLUSIVE, SHARED], loss=0.02)
     world.run(20 * SECOND)
     world.run(200 * SECOND)
     for name in ("probe", "sweep"):
         done = [when for when, _, _ in world.accepted[name] if when > 20 * SECOND]
-        assert 90 <= len(done) <= 105 and world.gaps(name, 20 * SECOND) < 8 * SECOND
+        assert 90 <= len(done) <= 105 and world.longest_gap(name, 20 * SECOND) < 8 * SECOND
 
 
-def test_in_a_split_once_at_most_goes_on_in_the_majority_and_at_least_once_on_both_sides():
-    world = World(5, 5, [ONCE, LEAST], loss=0)
+def test_in_a_partition_an_exclusive_duty_continues_in_the_majority_and_others_on_both_sides():
+    world = World(5, 5, [EXCLUSIVE, SHARED], loss=0)
     world.run(20 * SECOND)
-    few = {"m0", "m1"}
-    world.cut = lambda source, target: (source in few) != (target in few)
-    world.fence = TokenFence(0)  # each side reaches a place of its own
-    began = world.now
+    minority = {"m0", "m1"}
+    world.is_blocked = lambda source, target: (source in minority) != (target in minority)
+    world.fence = TokenFence(0)  # each side reaches a resource of its own
+    split_at = world.now
     world.run(60 * SECOND)
-    late = {name: {who for when, who, _ in world.accepted[name] if when > began + 20 * SECOND} for name in world.accepted}
-    assert late["probe"] and not late["probe"] & few
-    assert late["sweep"] & few and late["sweep"] - few
-    world.cut = lambda source, target: False
+    holders = {name: {who for when, who, _ in world.accepted[name] if when > split_at + 20 * SECOND} for name in world.accepted}
+    assert holders["probe"] and not holders["probe"] & minority
+    assert holders["sweep"] & minority and holders["sweep"] - minority
+    world.is_blocked = lambda source, target: False
     world.fence = TokenFence(3 * SECOND)
-    healed = world.now
+    healed_at = world.now
     world.run(60 * SECOND)
-    late = {name: {who for when, who, _ in world.accepted[name] if when > healed + 20 * SECOND} for name in world.accepted}
-    assert len(late["probe"]) == len(late["sweep"]) == 1
-    asked = [token.counter for when, _, token in world.accepted["sweep"] if when > healed]
-    assert max(asked) - min(asked) < 6  # no storm of claims
+    holders = {name: {who for when, who, _ in world.accepted[name] if when > healed_at + 20 * SECOND} for name in world.accepted}
+    assert len(holders["probe"]) == len(holders["sweep"]) == 1
+    counters = [token.counter for when, _, token in world.accepted["sweep"] if when > healed_at]
+    assert max(counters) - min(counters) < 6  # no repeated collisions of claims
 
 
-def test_a_duty_that_fails_or_hangs_goes_to_another():
-    world = World(2, 3, [ONCE], loss=0)
+def test_a_duty_that_fails_twice_goes_to_another_member():
+    world = World(2, 3, [EXCLUSIVE], loss=0)
     world.run(20 * SECOND)
     holder = world.accepted["probe"][-1][1]
-    keeper = world.instances[holder].keeper
+    manager = world.instances[holder].manager
     for _ in range(2):
-        keeper.record_failure(world.instances[holder].clock(), "probe")
-    began = world.now
+        manager.record_failure(world.instances[holder].clock(), "probe")
+    failed_at = world.now
     world.run(14 * SECOND)
-    assert {who for when, who, _ in world.accepted["probe"] if when > began + 100} - {holder}
+    assert {who for when, who, _ in world.accepted["probe"] if when > failed_at + 100} - {holder}
 
 
-def test_who_leaves_hands_over_without_a_gap():
-    world = World(4, 5, [ONCE], loss=0)
+def test_a_member_that_leaves_hands_its_duties_over_without_a_gap():
+    world = World(4, 5, [EXCLUSIVE], loss=0)
     world.run(30 * SECOND)
     holder = world.accepted["probe"][-1][1]
-    world.instances[holder].keeper.leave(world.instances[holder].clock())
+    world.instances[holder].manager.leave(world.instances[holder].clock())
     world.names = [name for name in world.names if name != holder]
-    left = world.now
+    left_at = world.now
     world.run(20 * SECOND)
-    after = [when for when, who, _ in world.accepted["probe"] if when > left + 10]
-    assert after and after[0] - left < ONCE.limit
+    after = [when for when, who, _ in world.accepted["probe"] if when > left_at + 10]
+    assert after and after[0] - left_at < EXCLUSIVE.limit
 
 
-# --- parts ---
+# --- placement, fence, voter ---
 
 
 @given(st.sets(st.text("abcdefgh", min_size=1, max_size=4), min_size=2, max_size=12), st.integers(0, 999))
 @settings(derandomize=True, deadline=None)
-def test_a_member_that_goes_moves_only_what_it_had(names, number):
+def test_a_member_that_leaves_moves_only_its_own_duties(names, number):
     members = dict.fromkeys(sorted(names), 1)
     gone = sorted(names)[number % len(names)]
-    for duty in (f"duty{place}" for place in range(30)):
+    for duty in (f"duty{index}" for index in range(30)):
         before = rank_members(members, duty)
         after = rank_members({name: weight for name, weight in members.items() if name != gone}, duty)
         assert after == [name for name in before if name != gone]
 
 
-def test_weights_are_shares():
-    owners = Counter(rank_members({"a": 1, "b": 1, "c": 2}, f"d{place}")[0] for place in range(4000))
+def test_duties_are_shared_in_proportion_to_the_weights():
+    owners = Counter(rank_members({"a": 1, "b": 1, "c": 2}, f"d{index}")[0] for index in range(4000))
     assert 0.45 < owners["c"] / 4000 < 0.55 and 0.2 < owners["a"] / 4000 < 0.3
 
 
-def test_a_fence_for_at_least_once_lets_the_older_in_when_the_newer_is_silent():
+def test_a_fence_admits_an_older_token_of_a_non_exclusive_duty_when_the_newer_is_inactive():
     fence = TokenFence(100)
     old, new = FencingToken(1, "a"), FencingToken(2, "b")
     assert fence.admit(0, "d", new, False) and not fence.admit(50, "d", old, False)
     assert fence.admit(150, "d", old, False)
-    strict = TokenFence(100)
-    assert strict.admit(0, "d", new, True) and not strict.admit(10_000, "d", old, True)
+    exclusive_fence = TokenFence(100)
+    assert exclusive_fence.admit(0, "d", new, True) and not exclusive_fence.admit(10_000, "d", old, True)
 
 
-def test_a_voter_grants_to_one_at_a_time():
+def test_a_voter_grants_a_duty_to_one_member_at_a_time():
     voter = Voter(0, 100, 0.0)
     assert not voter.handle_vote_request(50, "d", FencingToken(1, "a"), 100)  # it has just started
     assert voter.handle_vote_request(200, "d", FencingToken(2, "a"), 100) and voter.handle_vote_request(
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -560,7 +560,7 @@
 
     keeper = DutyManager(NotedHost(), Random(1), 0, "p0", 1, frozenset({"p1"}), [Duty("probe x1", 100, 1_000)])
     keeper.restore_counter("probe x1", 17)
-    assert keeper.counters() == {"probe x1": 17} and keeper.states["probe x1"].claim.ask(0) == 18
+    assert keeper.counters() == {"probe x1": 17} and keeper.states["probe x1"].claim.start_round(0) == 18
     granted, newest = keeper.handle_vote_request(10**6, "probe x1", FencingToken(12, "p1/1"), 100, -1)
     assert not granted and newest == 17
     granted, _ = keeper.handle_vote_request(10**6, "probe x1", FencingToken(19, "p1/1"), 100, -1)
