--- a/gingergap/scheduler/__init__.py
+++ b/gingergap/scheduler/__init__.py
@@ -1,2 +1,2 @@
-"""Background work of a process: one owner of all time that calls don't need. What runs next is decided without I/O
-(task_scheduler.py); the runner runs it in greenlets."""
+"""Background work of one process, run in the time that calls do not need. What runs next is decided without I/O
+(task_scheduler.py); a runner executes it in greenlets (runner.py)."""
