--- a/gingergap/store/__init__.py
+++ b/gingergap/store/__init__.py
@@ -1,1 +1,2 @@
-"""What a proxy keeps over restarts: what it learned, the list's last word, dialogs that stand, counters of tokens."""
+"""State that a proxy keeps across restarts: what it learned about exchanges, the last exchange list, established dialogs and
+the counters of duty leases."""
--- a/gingergap/store/export_reader.py
+++ b/gingergap/store/export_reader.py
@@ -1,4 +1,4 @@
-"""Exported records, a JSON object a line, back as changes: every line is checked before any is put."""
+"""Reads exported records, one JSON object per line. Every line is checked before any record is stored."""
 
 from pathlib import Path
 
@@ -7,7 +7,7 @@
 from .records import RECORD_TYPES, SCHEMA_VERSION, BadRecordError, Change
 
 
-class Line(msgspec.Struct, forbid_unknown_fields=True):
+class ExportedRecord(msgspec.Struct, forbid_unknown_fields=True):
     kind: str
     key: str
     seen: float
@@ -15,22 +15,22 @@
 
 
 def read_export(path: Path) -> list[Change]:
-    """Raises BadRecordError naming the line and why, OSError where the file can't be read."""
+    """Raises BadRecordError, which names the line and the reason, or OSError if the file cannot be read."""
     changes = []
     with path.open("rb") as file:
         try:
             schema = msgspec.json.decode(file.readline())["gingergap store"]
         except (msgspec.MsgspecError, KeyError, TypeError):
-            raise BadRecordError(f"{path}: no exported store") from None
+            raise BadRecordError(f"{path}: not an exported store") from None
         if schema != SCHEMA_VERSION:
             raise BadRecordError(f"{path}: schema {schema}, this program reads {SCHEMA_VERSION}")
-        for number, text in enumerate(file, 2):
+        for number, line in enumerate(file, 2):
             try:
-                line = msgspec.json.decode(text, type=Line)
-                if line.kind not in RECORD_TYPES:
-                    raise BadRecordError(f"{path}: line {number}: kind {line.kind!r} is unknown")
-                body = msgspec.json.decode(line.body, type=RECORD_TYPES[line.kind])
+                record = msgspec.json.decode(line, type=ExportedRecord)
+                if record.kind not in RECORD_TYPES:
+                    raise BadRecordError(f"{path}: line {number}: kind {record.kind!r} is unknown")
+                body = msgspec.json.decode(record.body, type=RECORD_TYPES[record.kind])
             except msgspec.MsgspecError as error:
                 raise BadRecordError(f"{path}: line {number}: {error}") from None
-            changes.append(Change(line.kind, line.key, body, line.seen))
+            changes.append(Change(record.kind, record.key, body, record.seen))
     return changes
--- a/gingergap/store/migrations.py
+++ b/gingergap/store/migrations.py
@@ -1,7 +1,7 @@
-"""From each schema to the next: rows in, rows out. A row is (kind, key, body, checksum, seen).
+"""Migrations from each schema version to the next. They map rows to rows; a row is (kind, key, body, checksum, seen).
 
-1 to 2: a dialog that stands names the number of its leg's exchange too, so that circuits can be set against the switch's own
-count; where it is not known the leg counts as direct.
+1 to 2: the record of an established dialog also has the number of the exchange that its leg goes to, so that circuits can
+be compared with the switch's own count. Where it is not known the leg counts as direct.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -14,8 +14,8 @@
 Row = tuple[Any, ...]
 
 
-def to_2(rows: Iterable[Row]) -> Iterator[Row]:
-    """Rows whose checksum does not hold go on as they are: the reader tells of them."""
+def migrate_to_2(rows: Iterable[Row]) -> Iterator[Row]:
+    """Rows with a wrong checksum are passed on unchanged: the reader reports them."""
     for kind, key, body, check, seen in rows:
         if kind == STANDING and isinstance(body, bytes) and checksum(kind, key, body) == check:
             fields = msgspec.msgpack.decode(body)
@@ -25,4 +25,4 @@
         yield kind, key, body, check, seen
 
 
-MIGRATIONS: dict[int, Callable[[Iterable[Row]], Iterator[Row]]] = {1: to_2}
+MIGRATIONS: dict[int, Callable[[Iterable[Row]], Iterator[Row]]] = {1: migrate_to_2}
--- a/gingergap/store/records.py
+++ b/gingergap/store/records.py
@@ -1,7 +1,8 @@
-"""What is kept, as records: a kind, a key, a body with a checksum of its own. Pure.
+"""The records of the store: a kind, a key, and a body with a checksum of its own. No I/O.
 
-The database guards its pages against a torn write; the checksum guards a record against everything else, so that a
-part that is corrupt loses that part alone. Wall times in seconds, spans in tenths of a millisecond.
+The database protects its pages against torn writes; the checksum protects each record against any other corruption, so
+that only the corrupt record is lost. Wall-clock times are in seconds since the epoch, durations in tenths of a millisecond.
+The names of kinds and fields are part of the stored format.
 """
 
 import zlib
@@ -14,12 +15,14 @@
 
 
 class BadRecordError(Exception):
-    """A record that can't be used; one plain line."""
+    """A record that cannot be used. Its text is one line."""
 
 
 class ExchangeRecord(msgspec.Struct):
-    """An exchange: the list's last word on it (`state` as in host.py, `started` wall time, 0 long ago, `word_at` when it
-    was told), where it is, and what was learned of its processor and of the own group to it."""
+    """An exchange: its last entry in the exchange list (`state` as in host.py, `started` as wall-clock time, 0 for long ago,
+    `word_at` when the entry was received), its address, and what was learned about its processor (its fastest and recent
+    set-up durations `quickest` and `took`, the age `took_ago` of the latter, and for how much longer it counts as
+    overloaded, `pressed_for`) and about the own trunk group to it."""
 
     number: int
     state: int
@@ -38,29 +41,31 @@
 
 
 class TandemRecord(msgspec.Struct):
-    """A tandem (by its id) and a destination: for how much longer it is passed over, and the span; 0 and 0: it carries."""
+    """A tandem (by its exchange id) and a destination: for how much longer it is not used (`left`), of which whole duration
+    (`span`). 0 and 0: it is in use."""
 
     left: int
     span: int
 
 
 class CallerRecord(msgspec.Struct):
-    """A caller not served: the wall time of its first try, and what its traffic type is worth."""
+    """A caller that was not served: the wall-clock time of its first attempt, and the importance of its traffic type."""
 
     first: float
     worth: float
 
 
 class RatesRecord(msgspec.Struct):
-    """Rates of the module, as it has them."""
+    """Set-up rate and pace of the call controller, in its own units."""
 
     best_rate: float
     pace: float
 
 
 class DialogRecord(msgspec.Struct):
-    """A dialog that stands: traffic type, circuits, the exchange it goes to, that of its leg (id and number), since when,
-    and until when it is remembered at the longest. Its route is in its requests; its tags tell which dialog they are of."""
+    """An established dialog: traffic type (`kind`), circuits (`width`), the number of its destination (`far`), the id and
+    the number of the exchange that its leg goes to, the wall-clock time since when it is established, and the tag of the
+    called party. Its route is carried by its requests; the tags identify the dialog."""
 
     kind: int
     width: int
@@ -73,14 +78,14 @@
 
 
 class TokenRecord(msgspec.Struct):
-    """The highest counter heard of for a duty."""
+    """The highest counter seen for the lease on a duty."""
 
     counter: int
 
 
 class HeartbeatRecord(msgspec.Struct):
-    """When the process last wrote, by the wall clock and by the machine's since its boot, and in which boot: where the
-    boot is the same, how long ago is known whatever became of the wall clock."""
+    """When the process last wrote, by the wall clock and by the monotonic clock of the machine, and the id of the machine's
+    boot: after a restart within the same boot the elapsed time is known even if the wall clock was set."""
 
     wall: float
     monotonic: float
@@ -99,11 +104,12 @@
     ALIVE: HeartbeatRecord,
 }
 ENCODER = msgspec.msgpack.Encoder()
-DECODERS = {kind: msgspec.msgpack.Decoder(form) for kind, form in RECORD_TYPES.items()}
+DECODERS = {kind: msgspec.msgpack.Decoder(record_type) for kind, record_type in RECORD_TYPES.items()}
 
 
 class Change(NamedTuple):
-    """A record to be put, or with no body to be taken away. `seen` is the wall time by which old ones go first."""
+    """A record to insert or replace, or, with `body` None, to delete. Eviction removes the records with the oldest `seen`
+    (wall-clock time) first."""
 
     kind: str
     key: str
@@ -111,8 +117,8 @@
     seen: float = 0.0
 
 
-def packed(kind: str, key: str, body: Any) -> tuple[bytes, int]:
-    """The body's bytes and the checksum over kind, key and bytes."""
+def encode_record(kind: str, key: str, body: Any) -> tuple[bytes, int]:
+    """Returns the body's bytes and the checksum over kind, key and bytes."""
     data = ENCODER.encode(body)
     return data, checksum(kind, key, data)
 
@@ -121,12 +127,12 @@
     return zlib.crc32(data, zlib.crc32(f"{kind}\0{key}".encode()))
 
 
-def unpacked(kind: str, key: str, data: Any, check: Any) -> Any:
-    """Raises BadRecordError, naming kind and key."""
+def decode_record(kind: str, key: str, data: Any, check: Any) -> Any:
+    """Returns the body. Raises BadRecordError, which names kind and key."""
     if kind not in DECODERS:
-        raise BadRecordError(f"{kind} {key!r}: an unknown kind")
+        raise BadRecordError(f"{kind} {key!r}: unknown kind")
     if not isinstance(data, bytes) or checksum(kind, key, data) != check:
-        raise BadRecordError(f"{kind} {key!r}: its checksum is wrong")
+        raise BadRecordError(f"{kind} {key!r}: wrong checksum")
     try:
         return DECODERS[kind].decode(data)
     except (msgspec.MsgspecError, RecursionError) as error:
@@ -134,16 +140,16 @@
 
 
 def encode_key(*fields: Any) -> str:
-    """Several fields as one key."""
+    """A key of several fields, as a JSON array."""
     return msgspec.json.encode(list(fields)).decode()
 
 
-def decode_key(key: str, many: int) -> list[Any]:
-    """And back. Raises BadRecordError."""
+def decode_key(key: str, count: int) -> list[Any]:
+    """The fields of a key. Raises BadRecordError unless there are `count`."""
     try:
-        found = msgspec.json.decode(key, type=list)
+        fields = msgspec.json.decode(key, type=list)
     except (msgspec.MsgspecError, RecursionError):
-        found = []
-    if len(found) != many:
-        raise BadRecordError(f"{key!r} is no key of {many} fields")
-    return found
+        fields = []
+    if len(fields) != count:
+        raise BadRecordError(f"{key!r} is not a key of {count} fields")
+    return fields
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -1,4 +1,4 @@
-"""The store: whole after a crash at any moment, upgraded or left alone, and losing no more than what is corrupt."""
+"""The store: consistent after a crash at any moment, upgrades of older schemas, and damage that loses only corrupt records."""
 
 import os
 import random
@@ -18,7 +18,7 @@
 from gingergap.standins.disk import FullDisk, NotedDisk, image
 from gingergap.store import record_store
 from gingergap.store.migrations import MIGRATIONS
-from gingergap.store.record_store import APPLICATION, FILE_NAME, BadStoreError, RecordStore
+from gingergap.store.record_store import APPLICATION_ID, FILE_NAME, BadStoreError, RecordStore
 from gingergap.store.records import (
     ALIVE,
     CALLER,
@@ -35,20 +35,21 @@
     TokenRecord,
     checksum,
     decode_key,
+    decode_record,
     encode_key,
-    packed,
-    unpacked,
+    encode_record,
 )
 
-STANDS = DialogRecord(0, 1, 2, "x2", 2, 1_000.0, False, "tag")
+DIALOG = DialogRecord(0, 1, 2, "x2", 2, 1_000.0, False, "tag")
 
 
-def held(book):
-    """All records of a book."""
-    return {(item.kind, item.key): item.body for kind in RECORD_TYPES for item in book.items(kind)}
+def all_records(store):
+    """All records of a store by kind and key."""
+    return {(record.kind, record.key): record.body for kind in RECORD_TYPES for record in store.items(kind)}
 
 
-def applied(state, changes):
+def apply_changes(state, changes):
+    """A copy of the state with the changes applied."""
     state = dict(state)
     for change in changes:
         if change.body is None:
@@ -58,14 +59,14 @@
     return state
 
 
-def random_batch(draw, number):
+def random_batch(rng, number):
     changes = []
-    for _ in range(draw.randrange(1, 8)):
-        key = f"k{draw.randrange(12)}"
-        if draw.random() < 0.3:
+    for _ in range(rng.randrange(1, 8)):
+        key = f"k{rng.randrange(12)}"
+        if rng.random() < 0.3:
             changes.append(Change(STANDING, key, None))
-        elif draw.random() < 0.5:
-            changes.append(Change(STANDING, key, STANDS.__class__(0, 1, number, "x" * draw.randrange(300), 2, 1.0, False, "t")))
+        elif rng.random() < 0.5:
+            changes.append(Change(STANDING, key, DIALOG.__class__(0, 1, number, "x" * rng.randrange(300), 2, 1.0, False, "t")))
         else:
             changes.append(Change(TOKEN, key, TokenRecord(number)))
     return changes
@@ -73,6 +74,7 @@
 
 @pytest.fixture(scope="module")
 def disk():
+    """A file layer that records every operation."""
     disk = NotedDisk("noted-store")
     yield disk
     disk.unregister()
@@ -80,40 +82,41 @@
 
 @pytest.fixture(scope="module")
 def sequence(disk, tmp_path_factory):
-    """A sequence of batches on a noted disk: the states after each, and where each began and was acknowledged."""
-    draw = random.Random(5)
+    """Batches committed on a recording disk: its operations, with marks where a batch began and was acknowledged, and the
+    state after each batch."""
+    rng = random.Random(5)
     disk.ops.clear()
-    book = RecordStore(tmp_path_factory.mktemp("noted"), vfs="noted-store")
+    store = RecordStore(tmp_path_factory.mktemp("noted"), vfs="noted-store")
     states = [{}]
     for number in range(24):
-        changes = random_batch(draw, number)
+        changes = random_batch(rng, number)
         disk.mark("begin")
-        book.commit(changes)
+        store.commit(changes)
         disk.mark("acknowledged")
-        states.append(applied(states[-1], changes))
+        states.append(apply_changes(states[-1], changes))
         if number in (8, 16):
-            book.db.execute("PRAGMA wal_checkpoint(FULL)")
-    book.close()
+            store.db.execute("PRAGMA wal_checkpoint(FULL)")
+    store.close()
     return list(disk.ops), states
 
 
 @given(st.data())
 @settings(max_examples=300, derandomize=True, deadline=None)
-def test_a_crash_at_any_moment_leaves_a_state_that_was(sequence, tmp_path_factory, data):
+def test_a_crash_at_any_moment_leaves_the_state_after_a_batch(sequence, tmp_path_factory, data):
     ops, states = sequence
     crash = data.draw(st.integers(0, len(ops)))
     folder = tmp_path_factory.mktemp("crash")
     image(ops, crash, random.Random(data.draw(st.integers(0, 10**6))), folder)
     begun = sum(op.what == "mark" and op.name == "begin" for op in ops[:crash])
     acknowledged = sum(op.what == "mark" and op.name == "acknowledged" for op in ops[:crash])
-    book = RecordStore(folder)
-    assert book.damage == [] and book.verify() == []
-    assert held(book) in states[acknowledged : begun + 1]  # every acknowledged batch, and none in part
-    book.commit([Change(TOKEN, "after", TokenRecord(1))])
-    book.close()
+    store = RecordStore(folder)
+    assert store.damage == [] and store.verify() == []
+    assert all_records(store) in states[acknowledged : begun + 1]  # every acknowledged batch, and no part of another
+    store.commit([Change(TOKEN, "after", TokenRecord(1))])
+    store.close()
 
 
-def test_a_crash_at_every_point_in_turn_too(sequence, tmp_path):
+def test_a_crash_after_every_third_operation_leaves_the_state_after_a_batch(sequence, tmp_path):
     ops, states = sequence
     for crash in range(0, len(ops) + 1, 3):
         folder = tmp_path / str(crash)
@@ -121,9 +124,9 @@
         image(ops, crash, random.Random(crash), folder)
         begun = sum(op.what == "mark" and op.name == "begin" for op in ops[:crash])
         acknowledged = sum(op.what == "mark" and op.name == "acknowledged" for op in ops[:crash])
-        book = RecordStore(folder)
-        assert held(book) in states[acknowledged : begun + 1], crash
-        book.close()
+        store = RecordStore(folder)
+        assert all_records(store) in states[acknowledged : begun + 1], crash
+        store.close()
 
 
 WRITER = """
@@ -132,47 +135,47 @@
 from pathlib import Path
 from test_store import random_batch
 from gingergap.store.record_store import RecordStore
-book = RecordStore(Path({folder!r}))
-draw = random.Random({seed})
+store = RecordStore(Path({folder!r}))
+rng = random.Random({seed})
 for number in range(100_000):
-    book.commit(random_batch(draw, number))
+    store.commit(random_batch(rng, number))
     sys.stdout.write(f"{{number}}\\n")
     sys.stdout.flush()
 """
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_writer_killed_outright_loses_nothing_that_it_acknowledged(tmp_path, seed):
-    draw = random.Random(seed)
+def test_a_killed_writer_loses_no_acknowledged_batch(tmp_path, seed):
+    rng = random.Random(seed)
     script = WRITER.format(tests=os.path.dirname(__file__), folder=str(tmp_path / "store"), seed=seed)
     process = subprocess.Popen([sys.executable, "-c", script], stdout=subprocess.PIPE)
-    told = b""
-    until = draw.randrange(20, 200)
-    while told.count(b"\n") < until:
+    output = b""
+    min_batches = rng.randrange(20, 200)
+    while output.count(b"\n") < min_batches:
         assert select.select([process.stdout], [], [], 60)[0]
-        told += os.read(process.stdout.fileno(), 65_536)
+        output += os.read(process.stdout.fileno(), 65_536)
     process.send_signal(signal.SIGKILL)
-    told += process.stdout.read()
+    output += process.stdout.read()
     process.wait()
-    acknowledged = told.count(b"\n")
-    again, states = random.Random(seed), [{}]
+    acknowledged = output.count(b"\n")
+    replayed_rng, states = random.Random(seed), [{}]
     for number in range(acknowledged + 2):
-        states.append(applied(states[-1], random_batch(again, number)))
-    book = RecordStore(tmp_path / "store")
-    assert book.verify() == [] and held(book) in states[acknowledged:]
-    book.close()
+        states.append(apply_changes(states[-1], random_batch(replayed_rng, number)))
+    store = RecordStore(tmp_path / "store")
+    assert store.verify() == [] and all_records(store) in states[acknowledged:]
+    store.close()
 
 
-# --- opening what is there ---
+# --- opening existing files ---
 
 
-def old_file(folder, schema=1):
-    """A store as the first schema wrote it: without the leg's number, without times."""
+def write_schema_1(folder, schema=1):
+    """A store as schema 1 wrote it: without `leg_number` and `seen`. Record 7 has a wrong checksum."""
     folder.mkdir(exist_ok=True)
     db = apsw.Connection(str(folder / FILE_NAME))
     db.execute(
         "CREATE TABLE item (kind TEXT NOT NULL, key TEXT NOT NULL, body BLOB NOT NULL, checksum INTEGER NOT NULL, "
-        f"PRIMARY KEY (kind, key)) WITHOUT ROWID; PRAGMA application_id={APPLICATION}; PRAGMA user_version={schema}"
+        f"PRIMARY KEY (kind, key)) WITHOUT ROWID; PRAGMA application_id={APPLICATION_ID}; PRAGMA user_version={schema}"
     )
     for number in range(50):
         body = ENCODER.encode(
@@ -185,51 +188,51 @@
 
 
 def test_an_older_schema_is_upgraded_in_a_copy(tmp_path):
-    old_file(tmp_path)
-    book = RecordStore(tmp_path)
-    found = held(book)
-    assert len(found) == 49 and len(book.damage) == 1 and "call7" in book.damage[0]
+    write_schema_1(tmp_path)
+    store = RecordStore(tmp_path)
+    found = all_records(store)
+    assert len(found) == 49 and len(store.damage) == 1 and "call7" in store.damage[0]
     assert found[STANDING, encode_key("call3", "ct")].leg_number == 3
-    book.close()
-    again = RecordStore(tmp_path)
-    assert held(again) == found and again.damage == []
-    again.close()
+    store.close()
+    reopened = RecordStore(tmp_path)
+    assert all_records(reopened) == found and reopened.damage == []
+    reopened.close()
     assert sorted(path.name for path in tmp_path.iterdir()) == [FILE_NAME]
 
 
-def test_an_upgrade_that_breaks_off_leaves_the_old_file_as_it_was(tmp_path, monkeypatch):
-    old_file(tmp_path)
+def test_a_failed_upgrade_leaves_the_old_file_unchanged(tmp_path, monkeypatch):
+    write_schema_1(tmp_path)
     before = (tmp_path / FILE_NAME).read_bytes()
 
-    def broken(rows):
+    def failing_migration(rows):
         yield from list(rows)[:10]
         raise apsw.FullError("no room")
 
-    monkeypatch.setitem(MIGRATIONS, 1, broken)
+    monkeypatch.setitem(MIGRATIONS, 1, failing_migration)
     with pytest.raises(BadStoreError, match="can't be upgraded"):
         RecordStore(tmp_path)
     db = sqlite3.connect(tmp_path / FILE_NAME)
     assert db.execute("PRAGMA user_version").fetchone() == (1,) and db.execute("SELECT count(*) FROM item").fetchone() == (50,)
     db.close()
     monkeypatch.undo()
-    book = RecordStore(tmp_path)  # what the first try left beside it is no hindrance
-    assert len(held(book)) == 49
-    book.close()
+    store = RecordStore(tmp_path)  # in spite of the unfinished copy of the first attempt
+    assert len(all_records(store)) == 49
+    store.close()
     assert before
 
 
 @pytest.mark.parametrize(
-    ("pragma", "words"),
+    ("pragma", "message"),
     [
-        (f"PRAGMA application_id={APPLICATION}; PRAGMA user_version={SCHEMA_VERSION + 1}", "newer"),
-        ("PRAGMA application_id=77", "no store of this program"),
+        (f"PRAGMA application_id={APPLICATION_ID}; PRAGMA user_version={SCHEMA_VERSION + 1}", "newer"),
+        ("PRAGMA application_id=77", "not a store of this program"),
     ],
 )
-def test_a_newer_or_foreign_file_is_left_alone_and_named(tmp_path, pragma, words):
+def test_a_newer_or_foreign_file_is_rejected_and_left_unchanged(tmp_path, pragma, message):
     db = apsw.Connection(str(tmp_path / FILE_NAME))
     db.execute(f"CREATE TABLE item (kind, key); INSERT INTO item VALUES ('a', 'b'); {pragma}")
     db.close()
-    with pytest.raises(BadStoreError, match=words) as bad:
+    with pytest.raises(BadStoreError, match=message) as bad:
         RecordStore(tmp_path)
     assert FILE_NAME in str(bad.value) and "\n" not in str(bad.value)
     db = apsw.Connection(str(tmp_path / FILE_NAME))
@@ -237,60 +240,61 @@
     db.close()
 
 
-def filled(folder, many=3_000):
-    book = RecordStore(folder)
-    book.commit([Change(STANDING, encode_key(f"call{number}", "ct"), STANDS) for number in range(many)])
-    book.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
-    book.close()
+def fill_store(folder, count=3_000):
+    """Write a store with `count` dialogs. Returns the path of its file."""
+    store = RecordStore(folder)
+    store.commit([Change(STANDING, encode_key(f"call{number}", "ct"), DIALOG) for number in range(count)])
+    store.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
+    store.close()
     return folder / FILE_NAME
 
 
-def test_a_corrupt_record_loses_itself_alone(tmp_path):
-    filled(tmp_path, 20)
+def test_only_the_corrupt_record_is_lost(tmp_path):
+    fill_store(tmp_path, 20)
     db = apsw.Connection(str(tmp_path / FILE_NAME))
     key = encode_key("call5", "ct")
     db.execute("UPDATE item SET body = x'00' WHERE key = ?", (key,))
     db.close()
-    book = RecordStore(tmp_path)
-    assert len(held(book)) == 19 and any("call5" in line for line in book.damage)
-    assert len(book.verify()) == 1
-    book.close()
+    store = RecordStore(tmp_path)
+    assert len(all_records(store)) == 19 and any("call5" in line for line in store.damage)
+    assert len(store.verify()) == 1
+    store.close()
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_corrupt_pages_lose_what_was_on_them_and_the_file_is_kept(tmp_path, seed):
-    path = filled(tmp_path)
-    data, draw = bytearray(path.read_bytes()), random.Random(seed)
+def test_only_records_on_corrupt_pages_are_lost(tmp_path, seed):
+    path = fill_store(tmp_path)
+    data, rng = bytearray(path.read_bytes()), random.Random(seed)
     for _ in range(3):
-        page = draw.randrange(3, len(data) // 4096)
-        data[page * 4096 : (page + 1) * 4096] = draw.randbytes(4096)
+        page = rng.randrange(3, len(data) // 4096)
+        data[page * 4096 : (page + 1) * 4096] = rng.randbytes(4096)
     path.write_bytes(data)
-    book = RecordStore(tmp_path)
-    found = held(book)
-    assert all(body == STANDS for body in found.values()) and len(found) >= 2_700 and book.verify() == []
-    book.commit([Change(TOKEN, "goes on", TokenRecord(1))])
-    book.close()
+    store = RecordStore(tmp_path)
+    found = all_records(store)
+    assert all(body == DIALOG for body in found.values()) and len(found) >= 2_700 and store.verify() == []
+    store.commit([Change(TOKEN, "goes on", TokenRecord(1))])
+    store.close()
 
 
-def test_what_is_no_database_is_put_aside_and_the_proxy_starts_empty(tmp_path):
+def test_a_file_that_is_not_a_database_is_renamed_and_the_store_starts_empty(tmp_path):
     (tmp_path / FILE_NAME).write_bytes(b"this is no database, but long enough to look at " * 50)
-    book = RecordStore(tmp_path)
-    assert held(book) == {} and "damaged-1" in book.damage[0]
-    book.commit([Change(TOKEN, "a", TokenRecord(1))])
-    book.close()
+    store = RecordStore(tmp_path)
+    assert all_records(store) == {} and "damaged-1" in store.damage[0]
+    store.commit([Change(TOKEN, "a", TokenRecord(1))])
+    store.close()
     assert (tmp_path / f"{FILE_NAME}.damaged-1").read_bytes().startswith(b"this is no database")
 
 
-def test_a_second_opener_is_told_so_and_the_first_goes_on(tmp_path):
-    book = RecordStore(tmp_path)
+def test_a_second_process_cannot_open_the_store_and_the_first_continues(tmp_path):
+    store = RecordStore(tmp_path)
     with pytest.raises(BadStoreError, match="another process has it open"):
         RecordStore(tmp_path)
-    book.commit([Change(TOKEN, "a", TokenRecord(1))])
-    book.close()
+    store.commit([Change(TOKEN, "a", TokenRecord(1))])
+    store.close()
     RecordStore(tmp_path).close()
 
 
-def test_a_folder_that_is_none_is_a_line(tmp_path):
+def test_a_path_that_is_not_a_folder_is_reported_in_one_line(tmp_path):
     (tmp_path / "file").write_text("x")
     for folder in (tmp_path / "file", tmp_path / "file" / "store"):
         with pytest.raises(BadStoreError) as bad:
@@ -298,45 +302,45 @@
         assert "\n" not in str(bad.value)
 
 
-def test_a_full_disk_takes_nothing_of_a_batch_and_the_next_one_fits_again(tmp_path):
+def test_a_full_disk_rejects_the_whole_batch_and_the_next_one_succeeds_once_there_is_room(tmp_path):
     disk = FullDisk("full-store")
     try:
-        book = RecordStore(tmp_path, vfs="full-store")
-        book.commit([Change(TOKEN, "a", TokenRecord(1))])
-        before = held(book)
+        store = RecordStore(tmp_path, vfs="full-store")
+        store.commit([Change(TOKEN, "a", TokenRecord(1))])
+        before = all_records(store)
         disk.room = 9_000
         with pytest.raises(BadStoreError, match="the disk is full"):
-            book.commit([Change(STANDING, encode_key(f"call{number}", "ct"), STANDS) for number in range(500)])
-        assert held(book) == before
+            store.commit([Change(STANDING, encode_key(f"call{number}", "ct"), DIALOG) for number in range(500)])
+        assert all_records(store) == before
         disk.room = 1 << 30
-        book.commit([Change(TOKEN, "b", TokenRecord(2))])
-        book.close()
-        again = RecordStore(tmp_path)
-        assert held(again) == {**before, (TOKEN, "b"): TokenRecord(2)} and again.verify() == []
-        again.close()
+        store.commit([Change(TOKEN, "b", TokenRecord(2))])
+        store.close()
+        reopened = RecordStore(tmp_path)
+        assert all_records(reopened) == {**before, (TOKEN, "b"): TokenRecord(2)} and reopened.verify() == []
+        reopened.close()
     finally:
         disk.unregister()
 
 
-def test_the_oldest_go_first_and_compacting_gives_their_room_back(tmp_path):
-    book = RecordStore(tmp_path)
-    book.commit(
+def test_eviction_removes_the_oldest_and_compacting_releases_their_space(tmp_path):
+    store = RecordStore(tmp_path)
+    store.commit(
         [Change(CALLER, encode_key(str(number), 0, 1), CallerRecord(float(number), 1.0), float(number)) for number in range(5_000)]
     )
-    assert book.evict(CALLER, 5_000) == 0 and book.evict(CALLER, 100) == 4_900
-    left = sorted(float(decode_key(item.key, 3)[0]) for item in book.items(CALLER))
+    assert store.evict(CALLER, 5_000) == 0 and store.evict(CALLER, 100) == 4_900
+    left = sorted(float(decode_key(item.key, 3)[0]) for item in store.items(CALLER))
     assert left == [float(number) for number in range(4_900, 5_000)]
-    assert len(list(book.items(CALLER, since=4_990.0))) == 10
-    before, after = book.compact()
-    assert after < before / 3 and len(list(book.items(CALLER))) == 100
-    book.close()
+    assert len(list(store.items(CALLER, since=4_990.0))) == 10
+    before, after = store.compact()
+    assert after < before / 3 and len(list(store.items(CALLER))) == 100
+    store.close()
 
 
-def test_records_are_what_they_were_or_told_to_be_corrupt():
-    for kind, form in RECORD_TYPES.items():
-        assert kind and form
-    data, check = packed(TOKEN, "a", TokenRecord(5))
-    assert unpacked(TOKEN, "a", data, check) == TokenRecord(5)
+def test_a_record_is_decoded_unchanged_or_rejected():
+    for kind, record_type in RECORD_TYPES.items():
+        assert kind and record_type
+    data, check = encode_record(TOKEN, "a", TokenRecord(5))
+    assert decode_record(TOKEN, "a", data, check) == TokenRecord(5)
     for wrong in (
         (TOKEN, "b", data, check),
         (STANDING, "a", data, check),
@@ -345,10 +349,10 @@
         ("other", "a", data, check),
     ):
         with pytest.raises(BadRecordError):
-            unpacked(*wrong)
+            decode_record(*wrong)
     junk = b"\xff\xff"
     with pytest.raises(BadRecordError):
-        unpacked(TOKEN, "a", junk, checksum(TOKEN, "a", junk))
+        decode_record(TOKEN, "a", junk, checksum(TOKEN, "a", junk))
     assert decode_key(encode_key('a"b', 1), 2) == ['a"b', 1]
     with pytest.raises(BadRecordError):
         decode_key("[1", 1)
@@ -357,12 +361,12 @@
 # --- the commands ---
 
 
-def test_the_commands(tmp_path):
+def test_the_store_commands(tmp_path):
     folder = tmp_path / "store"
-    filled(folder, 30)
-    book = RecordStore(folder)
-    book.commit([Change(ALIVE, "", HeartbeatRecord(1.0, 2.0, "b", "p0", 0.5), 1.0)])
-    book.close()
+    fill_store(folder, 30)
+    store = RecordStore(folder)
+    store.commit([Change(ALIVE, "", HeartbeatRecord(1.0, 2.0, "b", "p0", 0.5), 1.0)])
+    store.close()
     run = CliRunner().invoke
     assert "standing" in run(main, ["store", "info", str(folder)]).output
     assert run(main, ["store", "verify", str(folder)]).exit_code == 0
@@ -370,10 +374,10 @@
     done = run(main, ["store", "export", str(folder), "--out", str(out)])
     assert done.exit_code == 0 and len(out.read_text().splitlines()) == 32
     assert run(main, ["store", "import", str(tmp_path / "other"), "--from", str(out)]).exit_code == 0
-    books = [RecordStore(one) for one in (folder, tmp_path / "other")]
-    assert held(books[0]) == held(books[1])
-    for one in books:
-        one.close()
+    stores = [RecordStore(path) for path in (folder, tmp_path / "other")]
+    assert all_records(stores[0]) == all_records(stores[1])
+    for opened in stores:
+        opened.close()
     assert run(main, ["store", "compact", str(folder)]).exit_code == 0
     db = apsw.Connection(str(folder / FILE_NAME))
     db.execute("UPDATE item SET checksum = checksum + 1 WHERE key = ?", (encode_key("call5", "ct"),))
@@ -393,14 +397,14 @@
         '{"gingergap store": 2}\n{"kind": "token", "key": "a", "seen": 1, "body": {"counter": "x"}}',
     ],
 )
-def test_what_cannot_be_imported_is_a_line_and_leaves_no_store(tmp_path, text):
+def test_a_bad_export_is_reported_in_one_line_and_creates_no_store(tmp_path, text):
     (tmp_path / "in").write_text(text)
     done = CliRunner().invoke(main, ["store", "import", str(tmp_path / "s"), "--from", str(tmp_path / "in")])
     assert done.exit_code == 2 and len(done.stderr.strip().splitlines()) == 1 and not (tmp_path / "s").exists()
 
 
 @pytest.mark.parametrize(
-    "words",
+    "arguments",
     [
         ["info", "none"],
         ["verify", "none"],
@@ -409,16 +413,16 @@
         ["state", "--control", "none.sock"],
     ],
 )
-def test_what_is_not_there_is_a_line(tmp_path, monkeypatch, words):
+def test_missing_files_are_reported_in_one_line(tmp_path, monkeypatch, arguments):
     monkeypatch.chdir(tmp_path)
-    filled(tmp_path / "here", 3)
+    fill_store(tmp_path / "here", 3)
     (tmp_path / "there").write_text("mine")
-    done = CliRunner().invoke(main, ["store", *words])
+    done = CliRunner().invoke(main, ["store", *arguments])
     assert done.exit_code == 2 and len(done.stderr.strip().splitlines()) == 1
     assert (tmp_path / "there").read_text() == "mine"
 
 
-def test_the_file_layer_of_the_tests_knows_what_a_crash_may_leave():
+def test_the_simulated_disk_produces_lost_partial_and_torn_writes():
     from gingergap.standins.disk import Op
 
     ops = [Op("write", "a", 0, b"x" * 600), Op("sync", "a"), Op("write", "a", 0, b"y" * 2000), Op("truncate", "a", 100)]
@@ -437,5 +441,5 @@
         image(ops, 4, random.Random(seed), folder)
         seen.add(folder["a"])
     assert b"x" * 600 in seen and b"y" * 2000 in seen and b"y" * 100 in seen and b"x" * 100 in seen
-    assert any(0 < one.count(b"y") < 2000 and one.count(b"y") % 512 == 0 for one in seen)  # torn
+    assert any(0 < content.count(b"y") < 2000 and content.count(b"y") % 512 == 0 for content in seen)  # torn
     assert record_store.FILE_NAME == FILE_NAME
