--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -1,4 +1,4 @@
-"""Coordination over loopback: processes that are stopped, killed and split, the control socket, and the terminal view."""
+"""Coordination of proxy processes over loopback: pauses, kills and partitions, the control socket, and the terminal view."""
 
 import asyncio
 import json
@@ -35,22 +35,22 @@
     report = json.loads((folder / "report.json").read_text())
     duties = report["duties"]
     assert len(duties) == 5
-    for row in duties.values():  # a second's period, some 20 s in all, a limit of 6 s
+    for row in duties.values():  # a period of 1 s, about 20 s in all, a limit of 6 s
         assert row["went_back"] == 0
         assert 8 <= row["admitted"] <= 26
         assert row["longest_gap_s"] < 8
-    assert len({who for row in duties.values() for who in row["by"]}) >= 3
-    assert sum(row["admitted"] for row in duties.values()) <= 5 * 24  # five each probing all would be 500
+    assert len({proxy for row in duties.values() for proxy in row["by"]}) >= 3
+    assert sum(row["admitted"] for row in duties.values()) <= 5 * 24  # if each of the five proxies probed all, it would be 500
     logs = "".join(log.read_text() for log in folder.glob("*.log"))
     assert "event-failed" not in logs and "Traceback" not in logs
     assert "member-dead" in logs
 
 
 @pytest.fixture
-def two(tmp_path):
-    """Two coordinating proxies; the control paths."""
+def two_proxies(tmp_path):
+    """Two coordinating proxies: their processes and the paths of their control sockets."""
     ports = free_ports(6)
-    at = [f"127.0.0.1:{port}" for port in ports]
+    addresses = [f"127.0.0.1:{port}" for port in ports]
     processes, paths = [], []
     for number in range(2):
         path = tmp_path / f"edge-{number}.sexp"
@@ -59,12 +59,13 @@
             form(
                 "edge",
                 name=f"p{number}",
-                listen=at[number],
+                listen=addresses[number],
                 here=number,
                 control=paths[-1],
                 drain_limit_s=2,
                 exchange=[
-                    {"number": other, "id": f"x{other}", "address": at[2 + other], "prefix": [f"00{other}"]} for other in range(2)
+                    {"number": other, "id": f"x{other}", "address": addresses[2 + other], "prefix": [f"00{other}"]}
+                    for other in range(2)
                 ],
                 traffic_type=[{"name": "v", "setup_objective_ms": 1000, "no_answer_time_ms": 5000}],
                 coordination={
@@ -73,7 +74,7 @@
                     "lease_ms": 500,
                     "probe_every_ms": 300,
                     "probe_limit_ms": 2000,
-                    "member": [{"name": f"p{other}", "address": at[4 + other]} for other in range(2)],
+                    "member": [{"name": f"p{other}", "address": addresses[4 + other]} for other in range(2)],
                 },
             )
         )
@@ -86,33 +87,33 @@
         process.wait()
 
 
-def await_(condition, limit=30):
-    until = time.monotonic() + limit
-    while time.monotonic() < until:
+def wait_until(condition, timeout=30):
+    deadline = time.monotonic() + timeout
+    while time.monotonic() < deadline:
         try:
             if condition():
                 return
         except NoAnswerError:
             pass
         time.sleep(0.05)
-    raise AssertionError("it did not come to pass")
+    raise AssertionError("condition not met in time")
 
 
-def standing(path):
+def member_states(path):
     return {row["name"]: row["standing"] for row in ask(path, "members")}
 
 
-def test_operators_see_members_and_duties_and_one_leaves(two):
-    processes, paths = two
-    await_(lambda: all(standing(path) == {"p0": "alive", "p1": "alive"} for path in paths))
-    await_(lambda: all(row["holder"] for row in ask(paths[0], "duties")))
+def test_operators_see_members_and_duties_and_a_member_leaves(two_proxies):
+    processes, paths = two_proxies
+    wait_until(lambda: all(member_states(path) == {"p0": "alive", "p1": "alive"} for path in paths))
+    wait_until(lambda: all(row["holder"] for row in ask(paths[0], "duties")))
     runner = CliRunner()
     shown = runner.invoke(main, ["duties", "show", "--control", paths[0]])
     assert shown.exit_code == 0 and "probe x0" in shown.output and "check list" in shown.output
     shown = runner.invoke(main, ["members", "show", "--control", paths[1]])
     assert shown.exit_code == 0 and "p0" in shown.output
 
-    async def look():
+    async def read_screen():
         app = Watch(paths[0], 0.2)
         async with app.run_test(size=(120, 50)) as pilot:
             await pilot.pause(0.6)
@@ -121,38 +122,38 @@
             await pilot.press("q")
         return tables, line
 
-    tables, line = asyncio.run(look())
+    tables, line = asyncio.run(read_screen())
     assert tables == {"exchanges": 2, "duties": 3, "members": 2} and line.startswith("p0:")
     assert runner.invoke(main, ["members", "leave", "--control", paths[1]]).exit_code == 0
-    await_(lambda: standing(paths[0])["p1"] == "left")
-    # Of two configured members one is no majority: what is done once at most rests, the other duty goes on.
-    await_(lambda: {row["duty"] for row in ask(paths[0], "duties") if row["holder"] == "p0"} >= {"check list"})
-    assert ask(paths[1], "counts")["name"] == "p1"  # it goes on serving
+    wait_until(lambda: member_states(paths[0])["p1"] == "left")
+    # One of two configured members is no majority: exclusive duties stop, the other duty continues.
+    wait_until(lambda: {row["duty"] for row in ask(paths[0], "duties") if row["holder"] == "p0"} >= {"check list"})
+    assert ask(paths[1], "counts")["name"] == "p1"  # it still serves calls
     processes[0].send_signal(signal.SIGTERM)
     assert processes[0].wait(20) == 0
 
 
-def test_a_stopped_proxy_is_noticed_and_heard_of_again(two):
-    processes, paths = two
-    await_(lambda: all(standing(path) == {"p0": "alive", "p1": "alive"} for path in paths))
+def test_a_paused_proxy_is_declared_dead_and_rejoins_when_it_resumes(two_proxies):
+    processes, paths = two_proxies
+    wait_until(lambda: all(member_states(path) == {"p0": "alive", "p1": "alive"} for path in paths))
     processes[1].send_signal(signal.SIGSTOP)
-    await_(lambda: standing(paths[0])["p1"] == "dead")
+    wait_until(lambda: member_states(paths[0])["p1"] == "dead")
     processes[1].send_signal(signal.SIGCONT)
-    await_(lambda: all(standing(path) == {"p0": "alive", "p1": "alive"} for path in paths))
+    wait_until(lambda: all(member_states(path) == {"p0": "alive", "p1": "alive"} for path in paths))
 
 
-def test_the_control_socket_answers_questions_and_refuses_others(two):
-    _, paths = two
-    await_(lambda: ask(paths[0], "counts"))
-    for what, word in (("nonsense", "nothing is called"),):
-        with pytest.raises(NoAnswerError, match=word):
-            ask(paths[0], what)
+def test_the_control_socket_rejects_unknown_questions(two_proxies):
+    _, paths = two_proxies
+    wait_until(lambda: ask(paths[0], "counts"))
+    for question, message in (("nonsense", "nothing is called"),):
+        with pytest.raises(NoAnswerError, match=message):
+            ask(paths[0], question)
     result = CliRunner().invoke(main, ["duties", "show", "--control", paths[0] + "none"])
     assert result.exit_code == 2 and len(result.stderr.splitlines()) == 1
 
 
 @pytest.mark.parametrize(
-    ("part", "word"),
+    ("coordination", "message"),
     [
         ('(coordination (key "short") (member (name "p") (address "127.0.0.1:9")))', "coordination.key"),
         ('(coordination (key "long enough, long") (member (name "q") (address "127.0.0.1:9")))', "'p' is not among the members"),
@@ -164,11 +165,11 @@
         ('(coordination (key "long enough, long") (member (name "p") (address "here")))', "coordination.member[0].address"),
     ],
 )
-def test_faults_in_the_settings_of_coordination_are_named(part, word):
+def test_errors_in_the_coordination_settings_are_named(coordination, message):
     text = (
         '(edge (name "p") (listen "127.0.0.1:1") (here 0) (exchange (number 0) (id "x") (address "127.0.0.1:2")) '
-        f'(traffic-type (name "v") (setup-objective-ms 1) (no-answer-time-ms 1)) {part})'
+        f'(traffic-type (name "v") (setup-objective-ms 1) (no-answer-time-ms 1)) {coordination})'
     )
     with pytest.raises(BadSettingsError) as bad:
         parse(text, "f", edge=EdgeForm)
-    assert word in str(bad.value)
+    assert message in str(bad.value)
