--- a/gingergap/store/records.py
+++ b/gingergap/store/records.py
@@ -21,8 +21,8 @@
 class ExchangeRecord(msgspec.Struct):
     """An exchange: its last entry in the exchange list (`state` as in host.py, `started` as wall-clock time, 0 for long ago,
     `word_at` when the entry was received), its address, and what was learned about its processor (its fastest and recent
-    set-up durations `quickest` and `took`, the age `took_ago` of the latter, and for how much longer it counts as
-    overloaded, `pressed_for`) and about the own trunk group to it."""
+    set-up durations `quickest` and `took`, the age `took_ago` of the latter, and for how much longer it is not used as a
+    tandem, `pressed_for`) and about the own trunk group to it."""
 
     number: int
     state: int
@@ -41,8 +41,8 @@
 
 
 class TandemRecord(msgspec.Struct):
-    """A tandem (by its exchange id) and a destination: for how much longer it is not used (`left`), of which whole duration
-    (`span`). 0 and 0: it is in use."""
+    """A tandem (by its exchange id) and a destination: for how much longer it is not tried (`left`), and the whole duration
+    of that back-off (`span`). 0 and 0: it has set a dialog up to the destination."""
 
     left: int
     span: int
@@ -56,7 +56,7 @@
 
 
 class RatesRecord(msgspec.Struct):
-    """Set-up rate and pace of the call controller, in its own units."""
+    """The best rate of set-ups (`best_rate`, dialogs established in ten seconds) and their average duration (`pace`)."""
 
     best_rate: float
     pace: float
