--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -21,8 +21,8 @@
 from ..store.audit import Audit
 from ..store.memory import Memory, Recalled, Word
 from ..store.records import KeptStanding
+from ..trace.instrumentation import TraceBuffer, answer_to, crossing, recording_controller
 from ..trace.stored_names import stored_arguments
-from ..trace.tape import Tape, answer_to, crossing, recorded
 from . import words
 from .calls import Asked, Call, Leg, NoServer, Onward
 from .circuits import Circuits
@@ -122,13 +122,13 @@
         warm_after: int,
         multiple: float,
         fall_span: int,
-        tape: Tape | None = None,
+        trace_buffer: TraceBuffer | None = None,
         memory: Memory | None = None,
         recalled: Recalled | None = None,
     ) -> None:
         self.wire, self.log, self.fresh = wire, log, fresh
         self.address, self.domain, self.here = address, domain, here
-        self.tape, self.memory = tape, memory
+        self.trace_buffer, self.memory = trace_buffer, memory
         self.audit = Audit()
         self.types, self.kinds, self.widths = types, kinds, widths
         self.numbering, self.door, self.default_expires = numbering, door, default_expires
@@ -176,10 +176,10 @@
             "proxies": len(exchanges),
             "types": [[*entry[:5], None if entry.pools is None else sorted(entry.pools)] for entry in types],
         }
-        if tape is None:
+        if trace_buffer is None:
             self.controller = CallController(self, seed, here, len(exchanges), types, **figures)
         else:
-            self.controller = recorded(tape, self, seed, here, len(exchanges), types, **figures)
+            self.controller = recording_controller(trace_buffer, self, seed, here, len(exchanges), types, **figures)
         known = []
         for number, name, (host, port) in exchanges:
             gw = self._gw(name, number)
@@ -960,8 +960,8 @@
         self._note("remark", text)
 
     def _note(self, name: str, *fields: Any) -> None:
-        if self.tape is not None:
-            self.tape.note(name, self.now, *fields)
+        if self.trace_buffer is not None:
+            self.trace_buffer.note(name, self.now, *fields)
 
     def _came_by(self, call: Call, message: Message) -> None:
         """The proxy that sent a dialog here stands first or, behind its tandem, second on the way it came."""
--- a/gingergap/edge/serve.py
+++ b/gingergap/edge/serve.py
@@ -17,9 +17,9 @@
 from ..sip.transactions import Hop
 from ..store.memory import Memory, Recalled
 from ..trace.format import FORMAT, Header, Source
+from ..trace.instrumentation import TraceBuffer, module_digest
 from ..trace.live import LiveStories
 from ..trace.recorder import Recorder, keep_budget
-from ..trace.tape import Tape, module_digest
 from ..transport.sockets import Sockets
 from .coordination import Coordination, LocalWork
 from .door import Door
@@ -49,7 +49,7 @@
     now: int,
     wall: float,
     fresh: Any,
-    tape: Tape | None = None,
+    trace_buffer: TraceBuffer | None = None,
     memory: Memory | None = None,
     recalled: Recalled | None = None,
 ) -> EdgeProxy:
@@ -94,7 +94,7 @@
         warm_after=units(form.cold.warm_after_ms) + 1,
         multiple=form.cold.multiple,
         fall_span=units(form.cold.span_ms) + 1,
-        tape=tape,
+        trace_buffer=trace_buffer,
         memory=memory,
         recalled=recalled,
     )
@@ -114,7 +114,7 @@
         self.work: LocalWork | None = None
         self.coordination: Coordination | None = None
         self.control: Control | None = None
-        self.tape = Tape()
+        self.trace_buffer = TraceBuffer()
         self.recorder: Recorder | None = None
         self.spans: Any = None
         self.store: Remembering | None = None
@@ -135,7 +135,7 @@
             clock(),
             time.time(),
             lambda size: secrets.token_hex(size // 2),
-            None if self.form.trace is None else self.tape,
+            None if self.form.trace is None else self.trace_buffer,
             None if self.store is None else self.store.memory,
             recalled,
         )
@@ -255,7 +255,7 @@
             self.proxy.figures,
         )
         folder, part, budget = Path(form.folder), round(form.part_mb * 2**20), round(form.budget_mb * 2**20)
-        self.tape.switch(form.recording)
+        self.trace_buffer.switch(form.recording)
 
         source = Source(header.module, header.epoch, header.instance, header.wall, header.started, header.figures)
         told: list[Any] = []
@@ -278,7 +278,7 @@
 
         self.recorder = Recorder(
             folder,
-            self.tape,
+            self.trace_buffer,
             header,
             self.log,
             part=part,
@@ -354,8 +354,8 @@
                 return self.figures.text()
             case "trace on" | "trace off":
                 self._traced()
-                self.tape.switch(what == "trace on")
-                self.log.info("trace-switched", on=self.tape.on)
+                self.trace_buffer.switch(what == "trace on")
+                self.log.info("trace-switched", on=self.trace_buffer.on)
                 return self.recorder.figures()
             case _ if what.startswith("remark "):
                 self._traced()
--- a/gingergap/trace/tape.py
+++ b/gingergap/trace/instrumentation.py
@@ -46,7 +46,7 @@
     return crossed[:-1] + bytes([crossed[-1] ^ 1])
 
 
-class Tape:
+class TraceBuffer:
     """Holds at most `most` records; beyond them events are counted as lost, whole ones, with their times, until there is
     room again: a record of half an event would replay as a difference. After every hole the module's state is noted
     before the next event, so that a replay can go on from there."""
@@ -59,7 +59,7 @@
         self.dropping = False
         self.wants_state = False
         self.plain = True  # on, nothing dropped, no state asked for: a record only has to be appended
-        self.state: Callable[[], bytes] = bytes  # set by `recorded`
+        self.state: Callable[[], bytes] = bytes  # set by `recording_controller`
 
     # --- what can happen ---
 
@@ -114,72 +114,72 @@
         return records, gaps
 
 
-class RecordedHost:
+class RecordingHost:
     """Passes each action on and notes it."""
 
-    def __init__(self, host: Host, tape: Tape) -> None:
-        self.host, self.tape = host, tape
+    def __init__(self, host: Host, buffer: TraceBuffer) -> None:
+        self.host, self.buffer = host, buffer
 
     def send_leg(self, dialog: int, gw: int, limit: int) -> None:
-        self.tape.action((SEND_LEG, dialog, gw, limit))
+        self.buffer.action((SEND_LEG, dialog, gw, limit))
         self.host.send_leg(dialog, gw, limit)
 
     def cancel_leg(self, dialog: int, leg: int) -> None:
-        self.tape.action((CANCEL_LEG, dialog, leg))
+        self.buffer.action((CANCEL_LEG, dialog, leg))
         self.host.cancel_leg(dialog, leg)
 
     def decline(self, dialog: int, hold_off: int) -> None:
-        self.tape.action((DECLINE, dialog, hold_off))
+        self.buffer.action((DECLINE, dialog, hold_off))
         self.host.decline(dialog, hold_off)
 
     def abort(self, dialog: int) -> None:
-        self.tape.action((ABORT, dialog))
+        self.buffer.action((ABORT, dialog))
         self.host.abort(dialog)
 
     def schedule_tick(self, delay: int) -> None:
-        self.tape.action((SCHEDULE_TICK, delay))
+        self.buffer.action((SCHEDULE_TICK, delay))
         self.host.schedule_tick(delay)
 
     def send_to_peers(self, told: bytes) -> None:
-        self.tape.action((SEND_TO_PEERS, told))
+        self.buffer.action((SEND_TO_PEERS, told))
         self.host.send_to_peers(told)
 
     def subscribe(self) -> None:
-        self.tape.action((SUBSCRIBE,))
+        self.buffer.action((SUBSCRIBE,))
         self.host.subscribe()
 
 
-class RecordedController(CallController):
+class RecordingController(CallController):
     """The controller with its events noted on `tape` before they enter."""
 
-    tape: Tape
+    trace_buffer: TraceBuffer
 
     def start(self, now: int) -> None:
-        self.tape.event((START, now))
+        self.trace_buffer.event((START, now))
         super().start(now)
 
     def tick(self, now: int) -> None:
-        self.tape.event((TICK, now))
+        self.trace_buffer.event((TICK, now))
         CallController.tick(self, now)
 
     def peer_report_received(self, now: int, told: bytes) -> None:
-        self.tape.event((PEER_REPORT_RECEIVED, now, told))
+        self.trace_buffer.event((PEER_REPORT_RECEIVED, now, told))
         CallController.peer_report_received(self, now, told)
 
     def exchange_list_received(self, now: int, entries: list, whole: bool) -> None:
-        self.tape.event((EXCHANGE_LIST_RECEIVED, now, [[int(part) for part in entry] for entry in entries], whole))
+        self.trace_buffer.event((EXCHANGE_LIST_RECEIVED, now, [[int(part) for part in entry] for entry in entries], whole))
         super().exchange_list_received(now, entries, whole)
 
     def restore(self, now: int, known: Learned, age: int) -> None:
-        self.tape.event((RESTORE, now, known, age))
+        self.trace_buffer.event((RESTORE, now, known, age))
         super().restore(now, known, age)
 
     def exchange_list_failed(self, now: int) -> None:
-        self.tape.event((EXCHANGE_LIST_FAILED, now))
+        self.trace_buffer.event((EXCHANGE_LIST_FAILED, now))
         super().exchange_list_failed(now)
 
     def trunk_group_reported(self, now: int, gw: int, free: int, size: int) -> None:
-        self.tape.event((TRUNK_GROUP_REPORTED, now, gw, free, size))
+        self.trace_buffer.event((TRUNK_GROUP_REPORTED, now, gw, free, size))
         CallController.trunk_group_reported(self, now, gw, free, size)
 
     def dialog_received(
@@ -196,25 +196,27 @@
         cut: bool,
         advised: int = -1,
     ) -> None:
-        self.tape.event((DIALOG_RECEIVED, now, dialog, kind, far, width, number, expires_in, transit, redialled, cut, advised))
+        self.trace_buffer.event(
+            (DIALOG_RECEIVED, now, dialog, kind, far, width, number, expires_in, transit, redialled, cut, advised)
+        )
         CallController.dialog_received(self, now, dialog, kind, far, width, number, expires_in, transit, redialled, cut, advised)
 
     def dialog_established(self, now: int, dialog: int, took: int) -> None:
-        self.tape.event((DIALOG_ESTABLISHED, now, dialog, took))
+        self.trace_buffer.event((DIALOG_ESTABLISHED, now, dialog, took))
         CallController.dialog_established(self, now, dialog, took)
 
     def leg_ended(self, now: int, dialog: int, gw: int, how, rsn: int, over: bool, free: int, size: int) -> None:
-        self.tape.event((LEG_ENDED, now, dialog, gw, int(how), int(rsn), over, free, size))
+        self.trace_buffer.event((LEG_ENDED, now, dialog, gw, int(how), int(rsn), over, free, size))
         CallController.leg_ended(self, now, dialog, gw, how, rsn, over, free, size)
 
     def dialog_cancelled(self, now: int, dialog: int) -> None:
-        self.tape.event((DIALOG_CANCELLED, now, dialog))
+        self.trace_buffer.event((DIALOG_CANCELLED, now, dialog))
         super().dialog_cancelled(now, dialog)
 
 
-def recorded(tape: Tape, host: Host, *args: Any, **figures: Any) -> CallController:
+def recording_controller(buffer: TraceBuffer, host: Host, *args: Any, **figures: Any) -> CallController:
     """A controller made as `CallController(host, ...)` would be, on a tape."""
-    controller = RecordedController(RecordedHost(host, tape), *args, **figures)
-    controller.tape = tape
-    tape.state = lambda: freeze(controller)
+    controller = RecordingController(RecordingHost(host, buffer), *args, **figures)
+    controller.trace_buffer = buffer
+    buffer.state = lambda: freeze(controller)
     return controller
--- a/gingergap/trace/recorder.py
+++ b/gingergap/trace/recorder.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from .format import SNAPSHOT, Header, Writer, is_event, timed
-from .tape import Tape
+from .instrumentation import TraceBuffer
 
 EACH_BLOCK = 20_000  # records
 EVERY = 0.5  # seconds between writes
@@ -28,7 +28,7 @@
     def __init__(
         self,
         folder: Path,
-        tape: Tape,
+        buffer: TraceBuffer,
         header: Header,
         log: Any,
         *,
@@ -38,7 +38,7 @@
         apart: Callable[..., Any],
         seen: Callable[[list[list[Any]], str], None] | None = None,
     ) -> None:
-        self.folder, self.tape, self.header, self.log = folder, tape, header, log
+        self.folder, self.buffer, self.header, self.log = folder, buffer, header, log
         self.part, self.lasts, self.clock, self.apart, self.seen = part, lasts, clock, apart, seen
         self.parts = 0
         self.writer: Writer | None = None
@@ -62,17 +62,17 @@
     def step(self) -> None:
         """Write what has come since the last time; where the part is full, go on in a new one that begins with the
         state. Between `take` and `state` nothing else runs, so the state is that after the last record taken."""
-        records, gaps = self.tape.take()
+        records, gaps = self.buffer.take()
         state = b""
         if self.writer is None or self.writer.size >= self.part or self.clock() - self.begun >= self.lasts:
-            state = self.tape.state() if not self.tape.dropping else b""
+            state = self.buffer.state() if not self.buffer.dropping else b""
         if records or gaps or state:
             self.apart(self._write, records, gaps, state, self.clock())
 
     def close(self) -> None:
         if self.greenlet is not None:
             self.greenlet.kill()
-        records, gaps = self.tape.take()
+        records, gaps = self.buffer.take()
         if records or gaps:
             self.apart(self._write, records, gaps, b"", 0)
         if self.writer is not None:
@@ -84,7 +84,7 @@
     def figures(self) -> dict[str, Any]:
         """For operators."""
         return {
-            "on": self.tape.on,
+            "on": self.buffer.on,
             "part": self.writer.path.name if self.writer is not None else "",
             "records": self.written,
             "lost_events": self.lost,
@@ -111,7 +111,7 @@
                 self._put_events([[SNAPSHOT, now, state]])
                 self.states += 1
             except OSError as error:
-                self.tape.after_a_hole()  # the part lacks its state: the next event brings one
+                self.buffer.after_a_hole()  # the part lacks its state: the next event brings one
                 self._trouble(error)
 
     def _put_events(self, block: list[list[Any]]) -> None:
@@ -130,7 +130,7 @@
             if len(self.pending) > 1:  # one gap, however long the disk is full
                 first, last = self.pending[0][0], self.pending[-1][1]
                 self.pending = [(first, last, sum(gap[2] for gap in self.pending))]
-            self.tape.after_a_hole()
+            self.buffer.after_a_hole()
             self._trouble(error)
             return
         if self.seen is not None:
--- a/gingergap/trace/snapshot.py
+++ b/gingergap/trace/snapshot.py
@@ -14,7 +14,7 @@
 from .earlier_versions import is_earlier
 from .stored_names import STORED_MODULE, present_controller_fields, reading_class, stored_controller_fields, stored_form
 
-OUTSIDE = ("host", "tape")  # fields of a controller that lead out of it
+OUTSIDE = ("host", "trace_buffer")  # fields of a controller that lead out of it
 CONTAINERS = {("builtins", name): kind for name, kind in (("set", set), ("frozenset", frozenset), ("bytearray", bytearray))}
 
 
--- a/gingergap/trace/tap.py
+++ b/gingergap/trace/tap.py
@@ -16,9 +16,9 @@
 from ..call_controller import CallController
 from .copy import Copy
 from .format import FORMAT, BadTraceError, Header, timed
+from .instrumentation import TraceBuffer, module_digest, recording_controller
 from .stored_names import stored_arguments
 from .stream import Entry
-from .tape import Tape, module_digest, recorded
 
 UNIT = 100  # microseconds in a tenth of a millisecond
 
@@ -66,7 +66,7 @@
     """One proxy of the run: the adapter's, its tape, its file."""
 
     def __init__(self, folder: Path, msg: dict[str, Any], life: int, now_us: int, out: list[str]) -> None:
-        self.tape = Tape(1 << 40)
+        self.buffer = TraceBuffer(1 << 40)
         self.figures: dict[str, Any] = {}
         self.proxy = Proxy(msg["Proxy"], msg["Prng"], msg["Facts"], now_us, out, self._made)
         header = Header(
@@ -83,10 +83,10 @@
             proxies=proxies,
             types=[[*entry[:5], None if entry.pools is None else sorted(entry.pools)] for entry in types],
         )
-        return recorded(self.tape, host, seed, here, proxies, types, **figures)
+        return recording_controller(self.buffer, host, seed, here, proxies, types, **figures)
 
     def write(self) -> None:
-        records, _ = self.tape.take()
+        records, _ = self.buffer.take()
         for record in records:
             if timed(record):
                 self.now = record[1]
--- a/tests/test_spans.py
+++ b/tests/test_spans.py
@@ -17,19 +17,19 @@
 from gingergap.spans.live import LiveSpans
 from gingergap.spans.tree import Files, Trees, trees, worth_keeping
 from gingergap.trace.format import CODES, FORMAT, Header, Source
+from gingergap.trace.instrumentation import TraceBuffer, answer_to, crossing
 from gingergap.trace.live import LiveStories
 from gingergap.trace.merge import merge
 from gingergap.trace.stories import stories_of
 from gingergap.trace.stream import opened
-from gingergap.trace.tape import Tape, answer_to, crossing
 
 TYPES = [[15_000, 90_000, 0.1, 1.0, True, None], [25_000, 90_000, 0.1, 3.0, True, None]]
 FIGURES = {"here": 0, "types": TYPES}
 
 
 def test_every_dialog_is_a_tree_whose_places_lead_to_its_records(busy, tmp_path):  # noqa: F811
-    tape, header = busy
-    (trace,) = opened([written(tmp_path, header, tape.records, each=150)])
+    buffer, header = busy
+    (trace,) = opened([written(tmp_path, header, buffer.records, each=150)])
     records = [entry.record for entry in trace.entries()]
     found = list(trees(trace))
     arrivals = [record for record in records if record[0] == CODES["dialog_received"]]
@@ -49,8 +49,8 @@
 
 
 def test_waits_are_what_no_leg_and_no_answer_covers(busy, tmp_path):  # noqa: F811
-    tape, header = busy
-    (trace,) = opened([written(tmp_path, header, tape.records)])
+    buffer, header = busy
+    (trace,) = opened([written(tmp_path, header, buffer.records)])
     for story in stories_of(trace):
         covered = sum(over - begun for begun, over in story.waits())
         covered += sum(
@@ -63,8 +63,8 @@
 
 
 def test_spans_go_into_a_file_as_the_sdk_writes_them(busy, tmp_path):  # noqa: F811
-    tape, header = busy
-    path = written(tmp_path, header, tape.records)
+    buffer, header = busy
+    path = written(tmp_path, header, buffer.records)
     done = CliRunner().invoke(main, ["trace", "spans", str(path), "--out", str(tmp_path / "s.jsonl")])
     assert done.exit_code == 0
     lines = [json.loads(line) for line in (tmp_path / "s.jsonl").read_text().splitlines()]
@@ -121,25 +121,25 @@
 
 
 def test_a_running_proxy_writes_what_took_long_or_failed_beside_its_parts(busy, tmp_path):  # noqa: F811
-    tape, header = busy
+    buffer, header = busy
     source = Source(header.module, header.epoch, header.instance, header.wall, header.started, header.figures)
     live = LiveSpans(tmp_path, source, 100)
     figures = CallFigures(["voice", "video"])
     stories = LiveStories(source, structlog.get_logger(), [live.over, figures.over])
-    half = len(tape.records) // 2
-    for name, records in (("p0-e1-000.trace", tape.records[:half]), ("p0-e1-001.trace", tape.records[half:])):
+    half = len(buffer.records) // 2
+    for name, records in (("p0-e1-000.trace", buffer.records[:half]), ("p0-e1-001.trace", buffer.records[half:])):
         live.file(name, stories.stories.place)
         stories.take(records)
     live.close()
     lines = [json.loads(line) for path in sorted(tmp_path.glob("*.spans")) for line in path.read_text().splitlines()]
-    (trace,) = opened([written(tmp_path, header, tape.records)])
+    (trace,) = opened([written(tmp_path, header, buffer.records)])
     kept = [tree for tree in trees(trace) if worth_keeping(tree, 100) and tree.spans[0].fields["final"] != "open"]
     assert sum(line["name"] == "dialog" for line in lines) == len(kept) > 10
     places = {line["attributes"]["gingergap.position"] for line in lines if line["name"] == "dialog"}
     assert {place.partition(":")[0] for place in places} == {"p0-e1-000.trace", "p0-e1-001.trace"}
     for place in places:
         name, _, at = place.partition(":")
-        record = tape.records[int(at) + (half if name.endswith("001.trace") else 0)]
+        record = buffer.records[int(at) + (half if name.endswith("001.trace") else 0)]
         assert record[0] == CODES["dialog_received"]
     text = figures.text()
     counted = sum(float(line.rpartition(" ")[2]) for line in text.splitlines() if line.startswith("gingergap_dialogs_total{"))
@@ -198,51 +198,51 @@
     """Peers whose proxy is on tape."""
     import conftest
 
-    tape = Tape()
-    monkeypatch.setattr(conftest, "proxy_of", lambda *args: proxy_of(*args, tape))
-    return peers_of(), tape
+    buffer = TraceBuffer()
+    monkeypatch.setattr(conftest, "proxy_of", lambda *args: proxy_of(*args, buffer))
+    return peers_of(), buffer
 
 
-def notes(tape, name):
-    return [list(record[1:]) for record in tape.records if record[0] == CODES[name]]
+def notes(buffer, name):
+    return [list(record[1:]) for record in buffer.records if record[0] == CODES[name]]
 
 
 def test_a_leg_over_a_tandem_is_noted_under_its_branch_and_so_is_its_answer(taped):
-    peers, tape = taped
+    peers, buffer = taped
     peers.tell_groups({1: 0, 2: 20, 3: 20})
     invite = peers.invite("001555")
     (leg,) = peers.legs(invite.call_id)
     crossed = crossing(top_via(leg[0]).branch)
-    assert leg[1].port != 7101 and notes(tape, "sent") == [[0, crossed, 0]]
+    assert leg[1].port != 7101 and notes(buffer, "sent") == [[0, crossed, 0]]
     peers.now += 70
     peers.answer(leg, 200)
-    assert notes(tape, "received") == [[70, answer_to(crossed), 0]]
+    assert notes(buffer, "received") == [[70, answer_to(crossed), 0]]
     direct = peers.invite("002555")
-    assert peers.legs(direct.call_id) and len(notes(tape, "sent")) == 1
+    assert peers.legs(direct.call_id) and len(notes(buffer, "sent")) == 1
 
 
 def test_a_dialog_in_transit_is_noted_under_the_branch_that_brought_it_and_its_answer_too(taped):
-    peers, tape = taped
+    peers, buffer = taped
     for number, free in ((1, 20), (2, 0)):
         peers.tell_groups({1: free, 2: 20, 3: 20})
         call = f"transit{number}"
         fields = [("Via", f"SIP/2.0/UDP 127.0.0.1:6999;branch=z9hG4bKfar{number}"), ("Gingergap-Dialog", "transit;time-left=3000")]
         peers.invite("001555", call=call, fields=fields)
         ids = [crossing(f"z9hG4bK{call}"), crossing(f"z9hG4bKfar{number}")]
-        assert [note[1] for note in notes(tape, "received")][-2:] == ids
+        assert [note[1] for note in notes(buffer, "received")][-2:] == ids
         legs = peers.legs(call)
         if free:
             peers.answer(legs[0], 200)
         else:
             assert not legs and peers.finals(call) == [503]
-        assert notes(tape, "sent")[-1][1] == answer_to(ids[1])
-    events = [record[0] for record in tape.records]
+        assert notes(buffer, "sent")[-1][1] == answer_to(ids[1])
+    events = [record[0] for record in buffer.records]
     came, arrived = events.index(CODES["received"]), events.index(CODES["dialog_received"])
     assert came < arrived  # else what the arrival sets off could stand before what it came by
 
 
 def test_words_between_proxies_are_noted_under_their_call_id(taped, peers_of):
-    peers, tape = taped
+    peers, buffer = taped
     message = Message("MESSAGE", "sip:proxy@127.0.0.1:7000", body=b"\0\1\2\3")
     message.fields = [
         ("Via", "SIP/2.0/UDP 127.0.0.1:7100;branch=z9hG4bKm"),
@@ -253,22 +253,22 @@
         ("Max-Forwards", "9"),
     ]
     peers.come(message, Hop("UDP", "127.0.0.1", 7100))
-    assert notes(tape, "received") == [[0, crossing("word1"), -1]]
+    assert notes(buffer, "received") == [[0, crossing("word1"), -1]]
     peers.proxy.send_to_peers(b"\0\1\2\3")
     told = {crossing(message.call_id) for message in peers.all("MESSAGE")}
-    assert told == {note[1] for note in notes(tape, "sent")} and told
+    assert told == {note[1] for note in notes(buffer, "sent")} and told
 
 
 def test_doors_lateness_and_remarks_are_noted(taped):
-    peers, tape = taped
+    peers, buffer = taped
     peers.proxy.ran_late(5_000, 80)
     peers.proxy.ran_late(5_100, 900)
     peers.proxy.ran_late(5_200, 30_000)
-    assert notes(tape, "ran_late") == [[5_100, 900], [5_200, 30_000]]
+    assert notes(buffer, "ran_late") == [[5_100, 900], [5_200, 30_000]]
     invite = peers.invite("001555")
-    assert peers.finals(invite.call_id) == [503] and notes(tape, "dialog_rejected")[0][1] == 0
+    assert peers.finals(invite.call_id) == [503] and notes(buffer, "dialog_rejected")[0][1] == 0
     peers.proxy.remark(6_000, "phones dead in Bellville")
-    assert notes(tape, "remark") == [[6_000, "phones dead in Bellville"]]
+    assert notes(buffer, "remark") == [[6_000, "phones dead in Bellville"]]
 
 
 def test_ids_of_different_texts_differ_and_answers_are_not_questions():
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -20,11 +20,11 @@
 from gingergap.settings.forms import parse as parse_form
 from gingergap.trace import format as trace_format
 from gingergap.trace.format import CODES, FIRST_ACTION, FIRST_NOTE, FORMAT, SNAPSHOT, BadTraceError, Header, Reader, Writer
+from gingergap.trace.instrumentation import TraceBuffer, module_digest
 from gingergap.trace.recorder import Recorder, blocks, keep_budget
 from gingergap.trace.replay import Replay, replay, words
 from gingergap.trace.snapshot import BadSnapshotError, freeze, thaw
 from gingergap.trace.stream import Trace, opened
-from gingergap.trace.tape import Tape, module_digest
 from gingergap.trace.window import select
 
 
@@ -33,8 +33,8 @@
     """A proxy on a tape that has served some calls of all kinds; its tape and header."""
     import conftest
 
-    tape = Tape()
-    monkeypatch.setattr(conftest, "proxy_of", lambda *args: proxy_of(*args, tape))
+    buffer = TraceBuffer()
+    monkeypatch.setattr(conftest, "proxy_of", lambda *args: proxy_of(*args, buffer))
     peers = peers_of()
     for number in range(60):
         invite = peers.invite(f"00{1 + number % 3}{number:03d}", expires=2)
@@ -49,7 +49,7 @@
         peers.pass_time(peers.now + 400)
     peers.tell_list(1, [("x0", "ready", 0), ("x1", "draining", 0), ("x2", "ready", 0)], "full")
     peers.pass_time(peers.now + 30_000)
-    return tape, Header(FORMAT, module_digest(), "e1", "p0", 0.0, 0, peers.proxy.figures)
+    return buffer, Header(FORMAT, module_digest(), "e1", "p0", 0.0, 0, peers.proxy.figures)
 
 
 def replayed(header, records, module=call_controller):
@@ -82,12 +82,12 @@
 
 
 def test_a_replay_asks_for_the_same_at_every_event(busy, tmp_path):
-    tape, header = busy
-    trace = opened([written(tmp_path, header, tape.records)])[0]
+    buffer, header = busy
+    trace = opened([written(tmp_path, header, buffer.records)])[0]
     (done,) = replay(trace.sources, trace.entries(), trace.whole)
     assert done.difference is None and done.gaps == 0 and trace.breaks() == []
     assert done.events > 400 and done.actions > 200
-    assert done.events + done.actions == decisions(tape.records)
+    assert done.events + done.actions == decisions(buffer.records)
 
 
 class Timid(CallController):
@@ -98,17 +98,17 @@
 
 
 def test_a_changed_module_is_found_with_what_came_before(busy, tmp_path):
-    tape, header = busy
-    done = replayed(header, tape.records, SimpleNamespace(CallController=Timid))
+    buffer, header = busy
+    done = replayed(header, buffer.records, SimpleNamespace(CallController=Timid))
     assert done.difference is not None and done.difference.before
     assert done.difference.noted != done.difference.asked
 
 
 def test_a_noted_decision_that_was_changed_is_found(busy):
-    tape, header = busy
-    places = [place for place, record in enumerate(tape.records) if record[0] == CODES["send_leg"]]
+    buffer, header = busy
+    places = [place for place, record in enumerate(buffer.records) if record[0] == CODES["send_leg"]]
     for place in places[::7]:
-        records = list(tape.records)
+        records = list(buffer.records)
         records[place] = [*records[place][:2], 9, records[place][3]]
         assert replayed(header, records).difference.place == place
         assert replayed(header, records[:place] + records[place + 1 :]).difference is not None
@@ -145,8 +145,8 @@
 
 
 def test_the_index_is_made_anew_when_it_is_missing(busy, tmp_path):
-    tape, header = busy
-    path = written(tmp_path, header, tape.records)
+    buffer, header = busy
+    path = written(tmp_path, header, buffer.records)
     indexed = Reader(path).stretches()
     data = path.read_bytes()
     last = Reader(path)
@@ -164,8 +164,8 @@
 
 
 def test_one_dialog_is_found_without_unpacking_the_rest(busy, tmp_path, monkeypatch):
-    tape, header = busy
-    trace = opened([written(tmp_path, header, tape.records, each=60)])[0]
+    buffer, header = busy
+    trace = opened([written(tmp_path, header, buffer.records, each=60)])[0]
     unpacked, unpack = [], Trace.unpacked
     monkeypatch.setattr(Trace, "unpacked", lambda self, *what: unpacked.append(1) or unpack(self, *what))
     found = [entry.record for entry in select(trace, dialog=5)]
@@ -173,32 +173,32 @@
     assert 0 < len(unpacked) < len(trace.places())
     everything = [
         list(record)
-        for record in tape.records
+        for record in buffer.records
         if record[0] in trace_format.DIALOG_AT and record[trace_format.DIALOG_AT[record[0]]] == 5
     ]
     assert found == everything
-    middle = tape.records[len(tape.records) // 2]
+    middle = buffer.records[len(buffer.records) // 2]
     inside = list(select(trace, 1_000, 5_000))
     assert inside and all(1_000 <= entry.now <= 5_000 for entry in inside)
     assert words(middle)
 
 
 def test_a_tape_that_is_full_loses_whole_events_and_counts_them():
-    tape = Tape(most=4)
+    buffer = TraceBuffer(most=4)
     for now in range(5):
-        tape.event((CODES["tick"], now))
-        tape.action((CODES["schedule_tick"], 200))
-    tape.note("remark", 5, "no room for this")
-    records, gaps = tape.take()
+        buffer.event((CODES["tick"], now))
+        buffer.action((CODES["schedule_tick"], 200))
+    buffer.note("remark", 5, "no room for this")
+    records, gaps = buffer.take()
     assert len(records) == 4 and gaps == [(4, 2, 4, 3)]
-    tape.state = lambda: b"as it is"
-    tape.event((CODES["tick"], 9))
-    assert tape.take() == ([(SNAPSHOT, 9, b"as it is"), (CODES["tick"], 9)], [])
+    buffer.state = lambda: b"as it is"
+    buffer.event((CODES["tick"], 9))
+    assert buffer.take() == ([(SNAPSHOT, 9, b"as it is"), (CODES["tick"], 9)], [])
 
 
-def recorder(tmp_path, tape, header, **more):
+def recorder(tmp_path, buffer, header, **more):
     figures = {"part": 1 << 20, "lasts": 1 << 40, "apart": lambda run, *args: run(*args), "clock": lambda: 0, **more}
-    one = Recorder(tmp_path / "traces", tape, header, structlog.get_logger(), **figures)
+    one = Recorder(tmp_path / "traces", buffer, header, structlog.get_logger(), **figures)
     one.folder.mkdir()
     one._next_part()
     return one
@@ -206,15 +206,15 @@
 
 def in_parts(tmp_path, busy, **figures):
     """A whole tape recorded in small parts, the state at the start of each as a replay of what came before has it."""
-    tape, header = busy
-    records, tape.records = tape.records, []
+    buffer, header = busy
+    records, buffer.records = buffer.records, []
     behind = Replay(header)
-    one = recorder(tmp_path, tape, header, **{"part": 600, **figures})
-    tape.state = lambda: freeze(behind.controller)
+    one = recorder(tmp_path, buffer, header, **{"part": 600, **figures})
+    buffer.state = lambda: freeze(behind.controller)
     for block in blocks(records, 100):
         for record in block:
             behind.take(record)
-        tape.records = block
+        buffer.records = block
         one.step()
     one.close()
     return one, records
@@ -241,23 +241,23 @@
 
 
 def test_old_parts_are_closed_by_time_too(tmp_path):
-    tape, now = Tape(), [0]
-    one = recorder(tmp_path, tape, Header(FORMAT, "m", "e1", "p0", 0.0, 0, {}), lasts=1_000, clock=lambda: now[0])
-    tape.state = lambda: b"state"
+    buffer, now = TraceBuffer(), [0]
+    one = recorder(tmp_path, buffer, Header(FORMAT, "m", "e1", "p0", 0.0, 0, {}), lasts=1_000, clock=lambda: now[0])
+    buffer.state = lambda: b"state"
     for now[0] in range(0, 3_000, 100):
-        tape.event((CODES["tick"], now[0]))
+        buffer.event((CODES["tick"], now[0]))
         one.step()
     one.close()
     assert len(list(one.folder.glob("*.trace"))) == 3
 
 
 def test_the_oldest_parts_go_first_and_all_stay_under_the_budget(tmp_path):
-    tape = Tape()
-    one = recorder(tmp_path, tape, Header(FORMAT, "m", "e1", "p0", 0.0, 0, {}), part=600)
-    tape.state = lambda: b"state"
+    buffer = TraceBuffer()
+    one = recorder(tmp_path, buffer, Header(FORMAT, "m", "e1", "p0", 0.0, 0, {}), part=600)
+    buffer.state = lambda: b"state"
     for begun in range(0, 3_000, 300):
         for now in range(begun, begun + 300):
-            tape.event((CODES["tick"], now * 7919 % 100_003))
+            buffer.event((CODES["tick"], now * 7919 % 100_003))
         one.step()
     (one.folder / "q0-e1-000.trace").write_bytes(b"another instance's")
     before = len(list(one.folder.glob("p0-*.trace")))
@@ -272,9 +272,9 @@
 
 
 def test_a_full_disk_costs_records_not_calls_and_the_gap_is_written(tmp_path):
-    tape = Tape()
-    one = recorder(tmp_path, tape, Header(FORMAT, "m", "e", "i", 0.0, 0, {}))
-    tape.state = lambda: b"state"
+    buffer = TraceBuffer()
+    one = recorder(tmp_path, buffer, Header(FORMAT, "m", "e", "i", 0.0, 0, {}))
+    buffer.state = lambda: b"state"
     write = one.writer.file.write
     full = [False]
 
@@ -291,7 +291,7 @@
     inner, one.writer.file = one.writer.file, Disk()
     for now in range(6):
         full[0] = 2 <= now < 4
-        tape.event((CODES["tick"], now * 100))
+        buffer.event((CODES["tick"], now * 100))
         one.step()
     one.close()
     reader = Reader(next(one.folder.glob("*.trace")))
@@ -321,29 +321,29 @@
 
 
 def test_a_replay_passes_over_what_follows_a_gap_up_to_the_next_state(busy):
-    tape, header = busy
-    events = [place for place, record in enumerate(tape.records) if record[0] < FIRST_ACTION]
+    buffer, header = busy
+    events = [place for place, record in enumerate(buffer.records) if record[0] < FIRST_ACTION]
     first, second = events[100], events[200]
-    behind = replayed(header, tape.records[:second])
-    state = [SNAPSHOT, tape.records[second][1], freeze(behind.controller)]
+    behind = replayed(header, buffer.records[:second])
+    state = [SNAPSHOT, buffer.records[second][1], freeze(behind.controller)]
     done = replayed(
-        header, [*tape.records[:first], ["gap", 1, 2, 3], *tape.records[first + 30 : second], state, *tape.records[second:]]
+        header, [*buffer.records[:first], ["gap", 1, 2, 3], *buffer.records[first + 30 : second], state, *buffer.records[second:]]
     )
     assert done.difference is None and done.gaps == 1 and done.resumed == 1 and done.passed_over > 0
-    lost = [*tape.records[:first], ["gap", 1, 2, 3], *tape.records[first + 30 :]]
+    lost = [*buffer.records[:first], ["gap", 1, 2, 3], *buffer.records[first + 30 :]]
     assert replayed(header, lost).resumed == 0 and replayed(header, lost).events == 100
 
 
 @pytest.mark.parametrize("place", range(20, 420, 40))
 def test_a_state_taken_anywhere_decides_on_as_the_whole_does(busy, place):
-    tape, header = busy
-    events = [at for at, record in enumerate(tape.records) if record[0] < FIRST_ACTION]
+    buffer, header = busy
+    events = [at for at, record in enumerate(buffer.records) if record[0] < FIRST_ACTION]
     at = events[place]
-    behind = replayed(header, tape.records[:at])
+    behind = replayed(header, buffer.records[:at])
     on = Replay(header, False)
     on.take([SNAPSHOT, 0, freeze(behind.controller)])
     assert on.resumed == 1
-    for record in tape.records[at:]:
+    for record in buffer.records[at:]:
         assert on.take(record), on.difference
     assert on.over() and on.actions > 0
 
@@ -363,8 +363,8 @@
 
 
 def test_a_trace_of_the_first_format_is_still_read(busy, tmp_path, monkeypatch):
-    tape, header = busy
-    plain = [record for record in tape.records if record[0] < FIRST_NOTE]
+    buffer, header = busy
+    plain = [record for record in buffer.records if record[0] < FIRST_NOTE]
     frame = trace_format.FRAMES[1]
 
     class First:
@@ -385,32 +385,32 @@
 
 
 def test_recording_goes_off_and_on_again_with_the_state_before_the_next_event(busy):
-    tape, header = busy
-    behind = replayed(header, tape.records)
-    records = list(tape.records)
-    tape.records, tape.state = [], lambda: freeze(behind.controller)
-    tape.switch(False)
+    buffer, header = busy
+    behind = replayed(header, buffer.records)
+    records = list(buffer.records)
+    buffer.records, buffer.state = [], lambda: freeze(behind.controller)
+    buffer.switch(False)
     for now in range(3):
-        tape.event((CODES["tick"], 100_000 + now))
-        tape.action((CODES["schedule_tick"], 200))
-    tape.note("remark", 100_003, "unheard")
-    tape.switch(True)
-    tape.event((CODES["tick"], 100_010))
-    found, gaps = tape.take()
+        buffer.event((CODES["tick"], 100_000 + now))
+        buffer.action((CODES["schedule_tick"], 200))
+    buffer.note("remark", 100_003, "unheard")
+    buffer.switch(True)
+    buffer.event((CODES["tick"], 100_010))
+    found, gaps = buffer.take()
     assert [record[0] for record in found] == [SNAPSHOT, CODES["tick"]] and gaps == [(0, 100_000, 100_002, 3)]
     assert records
 
 
 def test_the_commands(busy, tmp_path):
-    tape, header = busy
-    path = written(tmp_path, header, tape.records)
+    buffer, header = busy
+    path = written(tmp_path, header, buffer.records)
     runner = CliRunner()
     assert "in order" in runner.invoke(main, ["trace", "info", str(path)]).output
     shown = runner.invoke(main, ["trace", "show", str(path), "--dialog", "3"])
     assert shown.exit_code == 0 and "dialog_received(" in shown.output
     done = runner.invoke(main, ["trace", "replay", str(path)])
     assert done.exit_code == 0 and "decisions compared" in done.output
-    wrong = [*tape.records]
+    wrong = [*buffer.records]
     place = next(place for place, record in enumerate(wrong) if record[0] == CODES["decline"])
     wrong[place] = [CODES["abort"], wrong[place][1]]
     other = written(tmp_path, header, wrong, name="b.trace")
--- a/tests/test_trace_tools.py
+++ b/tests/test_trace_tools.py
@@ -46,8 +46,8 @@
 @pytest.fixture
 def long(busy, tmp_path):  # noqa: F811
     """A trace with states in it, in blocks of a hundred records."""
-    tape, header = busy
-    records = with_states(header, tape.records, 60)
+    buffer, header = busy
+    records = with_states(header, buffer.records, 60)
     return opened([written(tmp_path, header, records, each=100, name="long.trace")])[0]
 
 
@@ -103,10 +103,10 @@
     folder = tmp_path_factory.mktemp("long")
     patch = pytest.MonkeyPatch()
     try:
-        tape, header = fixture.__wrapped__(conftest.peers_of.__wrapped__(), patch)
+        buffer, header = fixture.__wrapped__(conftest.peers_of.__wrapped__(), patch)
     finally:
         patch.undo()
-    return opened([written(folder, header, with_states(header, tape.records, 60), each=100, name="long.trace")])[0], folder
+    return opened([written(folder, header, with_states(header, buffer.records, 60), each=100, name="long.trace")])[0], folder
 
 
 def test_two_windows_that_split_a_dialog_both_replay(long, tmp_path):
@@ -291,8 +291,8 @@
 
 
 def test_merged_traces_of_several_modules_replay_each_with_its_own_and_cut_again(busy, tmp_path, monkeypatch):  # noqa: F811
-    tape, header = busy
-    records = with_states(header, tape.records, 80)
+    buffer, header = busy
+    records = with_states(header, buffer.records, 80)
     written(tmp_path, header, records, name="a.trace")
     other = trace_format.msgspec.structs.replace(header, instance="p1", module="another", wall=0.3)
     written(tmp_path, other, records, name="b.trace")
@@ -345,10 +345,10 @@
 
 
 def test_no_number_is_left_anywhere_and_every_decision_is_the_same(busy, tmp_path):  # noqa: F811
-    tape, header = busy
+    buffer, header = busy
     grown = [
         [*record[:6], f"27{record[6]}55", *record[7:]] if record[0] == CODES["dialog_received"] else record
-        for record in tape.records
+        for record in buffer.records
     ]
     called = sorted({record[6] for record in grown if record[0] == CODES["dialog_received"]})
     records = with_states(header, grown, 25)
@@ -370,8 +370,8 @@
 
 
 def test_a_replay_from_an_anonymised_state_goes_on_as_before(busy, tmp_path):  # noqa: F811
-    tape, header = busy
-    records = with_states(header, tape.records, 50)
+    buffer, header = busy
+    records = with_states(header, buffer.records, 50)
     (copy,) = anonymise(opened([written(tmp_path, header, records, each=100)])[0], Numbers(KEY), tmp_path / "out")
     (trace,) = opened([copy.path])
     entries = list(trace.entries())
@@ -406,13 +406,13 @@
 
 
 def test_another_version_is_asked_at_every_event_and_its_differences_counted(busy, tmp_path):  # noqa: F811
-    tape, header = busy
+    buffer, header = busy
     path = tmp_path / "timid.py"
     path.write_text(TIMID)
-    (trace,) = opened([written(tmp_path, header, tape.records)])
+    (trace,) = opened([written(tmp_path, header, buffer.records)])
     found = compare(trace.sources, trace.entries(), True, module_at(path))
     stories = list(stories_of(trace))
-    assert found.decisions == replayed(header, tape.records).actions
+    assert found.decisions == replayed(header, buffer.records).actions
     withheld = sum(kind.many for name, kind in found.kinds.items() if name.startswith("send_leg ->"))
     assert withheld == sum(bool(one.legs) and one.dialog % 5 == 0 for one in stories) > 3
     lost = sum(kind.lost for name, kind in found.kinds.items() if name.endswith("-> decline"))
@@ -424,8 +424,8 @@
 
 
 def test_nothing_is_said_of_another_version_where_this_one_does_not_decide_as_noted(busy, tmp_path):  # noqa: F811
-    tape, header = busy
-    records = [[CODES["abort"], record[1]] if record[0] == CODES["decline"] else record for record in tape.records]
+    buffer, header = busy
+    records = [[CODES["abort"], record[1]] if record[0] == CODES["decline"] else record for record in buffer.records]
     (trace,) = opened([written(tmp_path, header, records)])
     with pytest.raises(BadTraceError, match="does not decide as was noted"):
         compare(trace.sources, trace.entries(), True, call_controller)
@@ -452,18 +452,18 @@
 
 
 def test_two_traces_are_told_apart_at_the_first_record(busy, tmp_path):  # noqa: F811
-    tape, header = busy
-    (left,) = opened([written(tmp_path, header, tape.records, name="a.trace")])
-    (same,) = opened([written(tmp_path, header, [record for record in tape.records if record[0] < FIRST_NOTE], name="b.trace")])
+    buffer, header = busy
+    (left,) = opened([written(tmp_path, header, buffer.records, name="a.trace")])
+    (same,) = opened([written(tmp_path, header, [record for record in buffer.records if record[0] < FIRST_NOTE], name="b.trace")])
     assert difference(left, same).place == -1
-    wrong = list(tape.records)
+    wrong = list(buffer.records)
     place = next(place for place, record in enumerate(wrong) if record[0] == CODES["decline"])
     wrong[place] = [CODES["decline"], wrong[place][1], 77_777]
     (right,) = opened([written(tmp_path, header, wrong, name="c.trace")])
     found = difference(left, right)
-    heard = sum(record[0] < FIRST_NOTE for record in tape.records[:place])
+    heard = sum(record[0] < FIRST_NOTE for record in buffer.records[:place])
     assert found.place == heard and found.right[2] == 77_777 and found.before
-    (shorter,) = opened([written(tmp_path, header, tape.records[:-30], name="d.trace")])
+    (shorter,) = opened([written(tmp_path, header, buffer.records[:-30], name="d.trace")])
     found = difference(left, shorter)
     assert found.right is None and found.counts
 
@@ -472,8 +472,8 @@
 
 
 def test_the_commands_go_from_one_to_the_next(busy, tmp_path):  # noqa: F811
-    tape, header = busy
-    records = with_states(header, tape.records, 60)
+    buffer, header = busy
+    records = with_states(header, buffer.records, 60)
     for name, wall in (("p0", 0.0), ("p1", 0.2)):
         other = trace_format.msgspec.structs.replace(header, instance=name, wall=wall)
         written(tmp_path, other, records, each=100, name=f"{name}-e1-000.trace")
@@ -524,8 +524,8 @@
 )
 def test_what_cannot_be_done_is_one_line_and_exit_2(busy, tmp_path, monkeypatch, words):  # noqa: F811
     monkeypatch.chdir(tmp_path)
-    tape, header = busy
-    path = written(tmp_path, header, tape.records, name="p.trace")
+    buffer, header = busy
+    path = written(tmp_path, header, buffer.records, name="p.trace")
     (tmp_path / "short").write_text("x y z")
     (tmp_path / "key").write_bytes(KEY)
     (tmp_path / "empty").mkdir()
@@ -540,12 +540,12 @@
 
 
 def test_what_several_processes_wrote_in_one_folder_stays_apart(busy, tmp_path):  # noqa: F811
-    tape, header = busy
+    buffer, header = busy
     for epoch, wall in (("e1", 0.0), ("e2", 50.0)):
         written(
             tmp_path,
             trace_format.msgspec.structs.replace(header, epoch=epoch, wall=wall),
-            tape.records,
+            buffer.records,
             name=f"p0-{epoch}-000.trace",
         )
     traces = opened([tmp_path])
