--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -21,7 +21,7 @@
 from ..store.audit import Audit
 from ..store.memory import Memory, Recalled, Word
 from ..store.records import KeptStanding
-from ..trace.instrumentation import TraceBuffer, answer_to, crossing, recording_controller
+from ..trace.instrumentation import TraceBuffer, answer_id, message_id, recording_controller
 from ..trace.stored_names import stored_arguments
 from . import words
 from .calls import Asked, Call, Leg, NoServer, Onward
@@ -431,7 +431,7 @@
         branch = self._branch()
         leg.client = self.transactions.request(now, invite, hop, branch, leg)
         if leg.far != call.far:
-            leg.crossing = crossing(branch)
+            leg.crossing = message_id(branch)
             self._note("sent", leg.crossing, dialog)
         heappush(self.due_legs, (now + limit, leg.serial, call.index))
 
@@ -445,7 +445,7 @@
         call = self.calls[dialog]
         self._count("declined")
         if call.crossing:
-            self._note("sent", answer_to(call.crossing), dialog)
+            self._note("sent", answer_id(call.crossing), dialog)
         self._final(self.now, call, *words.declined(call.transit, call.how, call.rsn, hold_off))
         if call.leg is None:
             self._forget(call)
@@ -483,7 +483,7 @@
                 ("Content-Type", "application/octet-stream"),
             ]
             self.messages_out[gw] = self.messages_out.get(gw, 0) + 1
-            self._note("sent", crossing(message.call_id), -1)
+            self._note("sent", message_id(message.call_id), -1)
             self.transactions.request(self.now, message, hop, self._branch(), gw)
 
     def subscribe(self) -> None:
@@ -545,9 +545,9 @@
             call.number = ""
             leg.client.request = call.server.request = None
             if leg.crossing:
-                self._note("received", answer_to(leg.crossing), call.index)
+                self._note("received", answer_id(leg.crossing), call.index)
             if call.crossing:
-                self._note("sent", answer_to(call.crossing), call.index)
+                self._note("sent", answer_id(call.crossing), call.index)
             self.controller.dialog_established(now, call.index, now - leg.started)
             return
         if not leg.over:
@@ -575,7 +575,7 @@
         self._count(f"legs ended {how.name.lower()}")
         over = call.answered
         if leg.crossing and rsn == Rsn.TANDEM_DECLINED:  # only the proxy there says that
-            self._note("received", answer_to(leg.crossing), call.index)
+            self._note("received", answer_id(leg.crossing), call.index)
         if over:
             self._forget(call)
         if type(call.server) is NoServer:  # the module never heard of it
@@ -826,7 +826,7 @@
         """Another proxy's word; one that is too short says nothing."""
         self._answer(now, server, 200)
         if len(message.body) >= 3:
-            self._note("received", crossing(message.call_id), -1)
+            self._note("received", message_id(message.call_id), -1)
             self.controller.peer_report_received(now, message.body)
 
     # --- memory over restarts --------------------------------------------------------------------------------
@@ -966,7 +966,7 @@
     def _came_by(self, call: Call, message: Message) -> None:
         """The proxy that sent a dialog here stands first or, behind its tandem, second on the way it came."""
         for via in [via_of(value) for value in message.all("Via")[:2]]:
-            call.crossing = crossing(via.branch)
+            call.crossing = message_id(via.branch)
             self._note("received", call.crossing, call.index)
 
     # --- small parts -------------------------------------------------------------------------------------
--- a/gingergap/trace/instrumentation.py
+++ b/gingergap/trace/instrumentation.py
@@ -36,12 +36,12 @@
     return hashlib.blake2s(inspect.getsource(call_controller).encode(), digest_size=12).hexdigest()
 
 
-def crossing(text: str) -> bytes:
+def message_id(text: str) -> bytes:
     """The id under which the traces of two proxies name one thing that passed between them, of a text that both saw."""
     return hashlib.blake2s(text.encode("utf-8", "replace"), digest_size=8).digest()
 
 
-def answer_to(crossed: bytes) -> bytes:
+def answer_id(crossed: bytes) -> bytes:
     """The id of the answer to it."""
     return crossed[:-1] + bytes([crossed[-1] ^ 1])
 
--- a/tests/test_spans.py
+++ b/tests/test_spans.py
@@ -17,7 +17,7 @@
 from gingergap.spans.live import LiveSpans
 from gingergap.spans.tree import Files, Trees, trees, worth_keeping
 from gingergap.trace.format import CODES, FORMAT, Header, Source
-from gingergap.trace.instrumentation import TraceBuffer, answer_to, crossing
+from gingergap.trace.instrumentation import TraceBuffer, answer_id, message_id
 from gingergap.trace.live import LiveStories
 from gingergap.trace.merge import merge
 from gingergap.trace.stories import stories_of
@@ -83,14 +83,14 @@
 
 def over_a_tandem(folder):
     """Traces of a proxy that sends a dialog over a tandem, and of the tandem's."""
-    crossed = crossing("z9hG4bKone")
+    crossed = message_id("z9hG4bKone")
     rows = {
         "p0": [
             [CODES["exchange_list_received"], 1, [[1, 1, 2, 0], [2, 2, 2, 0]], True],
             [CODES["dialog_received"], 10, 0, 0, 1, 1, "n", 30_000, False, False, False, -1],
             [CODES["send_leg"], 0, 2, 900],
             [CODES["sent"], 10, crossed, 0],
-            [CODES["received"], 300, answer_to(crossed), 0],
+            [CODES["received"], 300, answer_id(crossed), 0],
             [CODES["dialog_established"], 300, 0, 290],
             [CODES["leg_ended"], 900, 0, 2, 0, 0, True, 5, 9],
         ],
@@ -99,7 +99,7 @@
             [CODES["received"], 60, crossed, 7],
             [CODES["dialog_received"], 60, 7, 0, 1, 1, "n", 30_000, True, False, False, -1],
             [CODES["send_leg"], 7, 1, 800],
-            [CODES["sent"], 250, answer_to(crossed), 7],
+            [CODES["sent"], 250, answer_id(crossed), 7],
             [CODES["dialog_established"], 250, 7, 190],
             [CODES["leg_ended"], 880, 7, 1, 0, 0, True, 5, 9],
         ],
@@ -212,11 +212,11 @@
     peers.tell_groups({1: 0, 2: 20, 3: 20})
     invite = peers.invite("001555")
     (leg,) = peers.legs(invite.call_id)
-    crossed = crossing(top_via(leg[0]).branch)
+    crossed = message_id(top_via(leg[0]).branch)
     assert leg[1].port != 7101 and notes(buffer, "sent") == [[0, crossed, 0]]
     peers.now += 70
     peers.answer(leg, 200)
-    assert notes(buffer, "received") == [[70, answer_to(crossed), 0]]
+    assert notes(buffer, "received") == [[70, answer_id(crossed), 0]]
     direct = peers.invite("002555")
     assert peers.legs(direct.call_id) and len(notes(buffer, "sent")) == 1
 
@@ -228,14 +228,14 @@
         call = f"transit{number}"
         fields = [("Via", f"SIP/2.0/UDP 127.0.0.1:6999;branch=z9hG4bKfar{number}"), ("Gingergap-Dialog", "transit;time-left=3000")]
         peers.invite("001555", call=call, fields=fields)
-        ids = [crossing(f"z9hG4bK{call}"), crossing(f"z9hG4bKfar{number}")]
+        ids = [message_id(f"z9hG4bK{call}"), message_id(f"z9hG4bKfar{number}")]
         assert [note[1] for note in notes(buffer, "received")][-2:] == ids
         legs = peers.legs(call)
         if free:
             peers.answer(legs[0], 200)
         else:
             assert not legs and peers.finals(call) == [503]
-        assert notes(buffer, "sent")[-1][1] == answer_to(ids[1])
+        assert notes(buffer, "sent")[-1][1] == answer_id(ids[1])
     events = [record[0] for record in buffer.records]
     came, arrived = events.index(CODES["received"]), events.index(CODES["dialog_received"])
     assert came < arrived  # else what the arrival sets off could stand before what it came by
@@ -253,9 +253,9 @@
         ("Max-Forwards", "9"),
     ]
     peers.come(message, Hop("UDP", "127.0.0.1", 7100))
-    assert notes(buffer, "received") == [[0, crossing("word1"), -1]]
+    assert notes(buffer, "received") == [[0, message_id("word1"), -1]]
     peers.proxy.send_to_peers(b"\0\1\2\3")
-    told = {crossing(message.call_id) for message in peers.all("MESSAGE")}
+    told = {message_id(message.call_id) for message in peers.all("MESSAGE")}
     assert told == {note[1] for note in notes(buffer, "sent")} and told
 
 
@@ -274,6 +274,6 @@
 def test_ids_of_different_texts_differ_and_answers_are_not_questions():
     draw = random.Random(3)
     texts = [str(draw.random()) for _ in range(500)]
-    ids = {crossing(text) for text in texts}
-    assert len(ids) == 500 and not ids & {answer_to(one) for one in ids}
-    assert all(answer_to(answer_to(one)) == one for one in ids)
+    ids = {message_id(text) for text in texts}
+    assert len(ids) == 500 and not ids & {answer_id(one) for one in ids}
+    assert all(answer_id(answer_id(one)) == one for one in ids)
