--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -23,8 +23,8 @@
 from gingergap.standins.script import Plan
 from gingergap.store.book import Book
 from gingergap.store.records import ALIVE, CALLER, EXCHANGE, PAIR, Change
-from gingergap.trace.stories import STOOD, stories_of
 from gingergap.trace.stream import opened
+from gingergap.trace.timeline import STOOD, dialog_timelines
 
 DAY = Path(__file__).resolve().parent.parent / "days" / "restarts.sexp"
 FIRST = 100_000  # ten seconds
@@ -113,7 +113,7 @@
         )
         begin = trace.header.started
         types = trace.header.figures["types"]
-        for story in stories_of(trace):
+        for story in dialog_timelines(trace):
             lead = 0 if restarted else round((epoch * 10_000) - begin)
             if story.came > begin + lead + FIRST:
                 continue
--- a/gingergap/edge/serve.py
+++ b/gingergap/edge/serve.py
@@ -18,7 +18,7 @@
 from ..store.memory import Memory, Recalled
 from ..trace.format import FORMAT, Header, Source
 from ..trace.instrumentation import TraceBuffer, module_digest
-from ..trace.live import LiveStories
+from ..trace.live import LiveTimelines
 from ..trace.recorder import Recorder, keep_budget
 from ..transport.sockets import Sockets
 from .coordination import Coordination, LocalWork
@@ -269,7 +269,7 @@
 
             self.spans = LiveSpans(folder, source, units(form.spans_slower_ms))
             told.append(self.spans.over)
-        stories = LiveStories(source, self.log, told)
+        stories = LiveTimelines(source, self.log, told)
 
         def seen(records: list[list[Any]], name: str) -> None:
             if self.spans is not None:
--- a/gingergap/metrics/calls.py
+++ b/gingergap/metrics/calls.py
@@ -3,7 +3,7 @@
 from prometheus_client import CollectorRegistry, Counter, Histogram, generate_latest
 
 from ..host import LegEnd
-from ..trace.stories import STOOD, Story
+from ..trace.timeline import STOOD, DialogTimeline
 
 BUCKETS = (0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0)  # seconds: shapes of a plot, no decision
 
@@ -22,7 +22,7 @@
             "gingergap_set_up_seconds", "From arrival to standing", ("type", "way"), buckets=BUCKETS, registry=self.registry
         )
 
-    def over(self, story: Story) -> None:
+    def over(self, story: DialogTimeline) -> None:
         kind = self.types[story.kind]
         way = "transit" if story.transit else "tandem" if any(leg.number != story.far for leg in story.legs) else "direct"
         self.dialogs.labels(kind, way, story.final, story.cause()).inc()
--- a/gingergap/spans/live.py
+++ b/gingergap/spans/live.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from ..trace.format import Source
-from ..trace.stories import Story
+from ..trace.timeline import DialogTimeline
 from .export import FileSpans
 from .tree import Files, Trees, worth_keeping
 
@@ -30,7 +30,7 @@
             del self.files.begins[:-64]
             self.close()
 
-    def over(self, story: Story) -> None:
+    def over(self, story: DialogTimeline) -> None:
         tree = self.trees.tree(story)
         if worth_keeping(tree, self.slower):
             if self.out is None:
--- a/gingergap/spans/tree.py
+++ b/gingergap/spans/tree.py
@@ -11,8 +11,8 @@
 
 from ..host import LegEnd
 from ..trace.format import Source
-from ..trace.stories import OPEN, STOOD, Story, stories_of
 from ..trace.stream import Trace
+from ..trace.timeline import OPEN, STOOD, DialogTimeline, dialog_timelines
 
 MOST_CROSSINGS = 100_000
 
@@ -70,7 +70,7 @@
         self.wall = wall - started / 10_000
         self.crossed: OrderedDict[bytes, bytes] = OrderedDict()
 
-    def tree(self, story: Story) -> Tree:
+    def tree(self, story: DialogTimeline) -> Tree:
         source = self.sources[story.source]
         name = f"{source.instance} {source.epoch} {story.dialog}".encode()
         trace_id = hashlib.blake2s(name, digest_size=16).digest()
@@ -140,12 +140,12 @@
         files.begin(place, reader.path.name)
         place += sum(stretch.records for _, stretch in reader.stretches())
     maker = Trees(trace.sources, trace.header.wall, trace.header.started, files)
-    yield from hung(maker, stories_of(trace), trace.merged)
+    yield from hung(maker, dialog_timelines(trace), trace.merged)
 
 
-def hung(maker: Trees, stories: Iterable[Story], wait: bool) -> Iterator[Tree]:
+def hung(maker: Trees, stories: Iterable[DialogTimeline], wait: bool) -> Iterator[Tree]:
     """Trees of stories; with `wait`, one in transit only after the leg that it came by, or at the end."""
-    waiting: OrderedDict[bytes, Story] = OrderedDict()
+    waiting: OrderedDict[bytes, DialogTimeline] = OrderedDict()
     for story in stories:
         if wait and story.crossing and story.crossing not in maker.crossed:
             waiting[story.crossing] = story
--- a/gingergap/trace/compare.py
+++ b/gingergap/trace/compare.py
@@ -21,8 +21,8 @@
 from .format import CODES, DIALOG_AT, FIRST_NOTE, NAMES, SNAPSHOT, BadTraceError, Source, is_action, is_event
 from .replay import Asked, controller_of, feed
 from .snapshot import BadSnapshotError, freeze, thaw
-from .stories import STOOD, Stories, Story
 from .stream import Entry
+from .timeline import STOOD, DialogTimeline, TimelineBuilder
 
 SEND, DECLINE, ABORT = CODES["send_leg"], CODES["decline"], CODES["abort"]
 SHOWN = 3  # examples kept of each kind
@@ -105,10 +105,10 @@
 
 def compare(sources: list[Source], entries: Iterable[Entry], whole: bool, other: ModuleType) -> Compared:
     """Raises BadTraceError where this program's module does not decide as noted: then nothing can be said of another."""
-    result, stories = Compared(), Stories(sources)
+    result, stories = Compared(), TimelineBuilder(sources)
     sides = [Side(source, whole, other) for source in sources]
     open_differences: dict[tuple[int, int], list[Kind]] = {}
-    closing: list[list[Story]] = [[] for _ in sources]  # ended by the event under way, whose differences are not known yet
+    closing: list[list[DialogTimeline]] = [[] for _ in sources]  # ended by the event under way, whose differences are not known yet
 
     def settle(source: int) -> None:
         _settle(sides[source], source, result, open_differences)
@@ -201,7 +201,9 @@
     return "nothing yet" if action is None else NAMES[action[0]]
 
 
-def _ended(story: Story, sources: list[Source], result: Compared, open_differences: dict[tuple[int, int], list[Kind]]) -> None:
+def _ended(
+    story: DialogTimeline, sources: list[Source], result: Compared, open_differences: dict[tuple[int, int], list[Kind]]
+) -> None:
     types = sources[story.source].figures["types"]
     objective, importance = types[story.kind][0], types[story.kind][3]
     in_time = story.final == STOOD and story.took <= objective
--- a/gingergap/trace/cut.py
+++ b/gingergap/trace/cut.py
@@ -13,8 +13,8 @@
 
 from .copy import Copy
 from .format import DIALOG_AT, EVENTS, FORMAT, SNAPSHOT, BadTraceError
-from .stories import stories_of
 from .stream import Entry, Place, Trace
+from .timeline import dialog_timelines
 
 
 class Span(NamedTuple):
@@ -36,7 +36,7 @@
         return Span(low, high, frozenset())
     focus: set[tuple[int, int]] = set()
     first, last = ALWAYS, -ALWAYS
-    for story in stories_of(trace):
+    for story in dialog_timelines(trace):
         asked = story.dialog in dialogs or far is not None and story.touches(far)
         if asked and story.came <= high and story.last >= low:
             focus.add((story.source, story.dialog))
--- a/gingergap/trace/live.py
+++ b/gingergap/trace/live.py
@@ -4,16 +4,16 @@
 from typing import Any
 
 from .format import Source, timed
-from .stories import Stories, Story
 from .stream import Entry
+from .timeline import DialogTimeline, TimelineBuilder
 
 
-class LiveStories:
+class LiveTimelines:
     """What the recorder has written, as stories; `over` is called with each that has come to its end. The recorder's
     own errors must stay its own: what fails here is told once, and recording goes on."""
 
-    def __init__(self, source: Source, log: Any, over: list[Callable[[Story], None]]) -> None:
-        self.stories = Stories([source])
+    def __init__(self, source: Source, log: Any, over: list[Callable[[DialogTimeline], None]]) -> None:
+        self.stories = TimelineBuilder([source])
         self.log, self.over = log, over
         self.now = 0
         self.failed = False
--- a/gingergap/trace/tally.py
+++ b/gingergap/trace/tally.py
@@ -10,8 +10,8 @@
 
 from ..host import GwState, LegEnd, Rsn
 from .format import CODES, Header, Source
-from .stories import ABORT, CAME, DECLINE, DECLINED, GIVEN_UP, LEG_ENDED, SEND, STANDS, STOOD, Leg, Stories, Story
 from .stream import Entry
+from .timeline import ABORT, CAME, DECLINE, DECLINED, GIVEN_UP, LEG_ENDED, SEND, STANDS, STOOD, DialogTimeline, Leg, TimelineBuilder
 
 TICK, EXCHANGE_LIST_RECEIVED, EXCHANGE_LIST_FAILED, TRUNK_GROUP_REPORTED, DIALOG_REJECTED, RAN_LATE = (
     CODES[name]
@@ -115,7 +115,7 @@
 
     def __init__(self, sources: list[Source] | list[Header], span: int) -> None:
         self.sources, self.span = sources, span
-        self.stories = Stories(sources)
+        self.stories = TimelineBuilder(sources)
         self.slices: list[dict[int, Slice]] = [{} for _ in sources]
         self.heard: list[int] = [-1] * len(sources)
         self.states: list[dict[int, tuple[int, int]]] = [{} for _ in sources]  # gw: state and start, as last listed
@@ -209,7 +209,7 @@
         if size >= 0:
             self.free[source][self.stories.numbers[source].get(gw, -1)] = free
 
-    def _step(self, here: Slice, source: int, now: int, record: list[Any], story: Story) -> None:
+    def _step(self, here: Slice, source: int, now: int, record: list[Any], story: DialogTimeline) -> None:
         """A record of a dialog: circuits when it came, and legs that others overtake."""
         code, key = record[0], (source, story.dialog)
         if code == CAME:
@@ -236,7 +236,7 @@
         elif code in (DECLINE, ABORT) and self.free[source].get(story.far, story.width) < story.width:
             self.short[key] = True
 
-    def _over(self, story: Story) -> None:
+    def _over(self, story: DialogTimeline) -> None:
         here = self.slice(story.source, story.came)
         types = self.sources[story.source].figures["types"]
         objective, importance = types[story.kind][0], types[story.kind][3]
@@ -285,7 +285,7 @@
         if story.took >= 0:
             self.answered.record_value(min(LONGEST, max(1, story.took * 100)))
 
-    def _leg(self, story: Story, leg: Leg) -> None:
+    def _leg(self, story: DialogTimeline, leg: Leg) -> None:
         far = self.slice(story.source, leg.sent).at(leg.number)
         far.legs += 1
         if leg.stood >= 0:
--- a/gingergap/trace/stories.py
+++ b/gingergap/trace/timeline.py
@@ -47,7 +47,7 @@
         return over - self.sent if over >= 0 else -1
 
 
-class Story:
+class DialogTimeline:
     """One dialog. `place` is where its arrival stands among all records."""
 
     __slots__ = (
@@ -120,19 +120,19 @@
         return last.how.name.lower().replace("_", " ")
 
 
-class Stories:
+class TimelineBuilder:
     """Reads entries in order. `numbers` holds, for each source, which exchange number a gw has."""
 
     def __init__(self, sources: list[Source] | list[Header]) -> None:
         self.sources = sources
         self.numbers: list[dict[int, int]] = [{} for _ in sources]
-        self.held: dict[tuple[int, int], Story] = {}
-        self.done: list[Story] = []
+        self.held: dict[tuple[int, int], DialogTimeline] = {}
+        self.done: list[DialogTimeline] = []
         self.came_by: dict[tuple[int, int], bytes] = {}  # a dialog's crossing is told just before it comes
         self.place = 0  # of the next record among all; gaps are none
         self.here = [source.figures.get("here", -1) for source in sources]
 
-    def take(self, entry: Entry) -> Story | None:
+    def take(self, entry: Entry) -> DialogTimeline | None:
         """One entry; the story that it belongs to, if any."""
         source, now, record = entry
         code = record[0]
@@ -142,7 +142,7 @@
         place = self.place
         self.place += 1
         if code == CAME:
-            story = self.held[source, record[2]] = Story(source, place, [code, now, *record[2:]])
+            story = self.held[source, record[2]] = DialogTimeline(source, place, [code, now, *record[2:]])
             story.crossing = self.came_by.pop((source, record[2]), b"")
             return story
         if code == EXCHANGE_LIST_RECEIVED:
@@ -180,16 +180,16 @@
             story.legs[-1].crossing = record[2]  # in transit it is the answer that was sent
         return story
 
-    def over(self) -> Iterator[Story]:
+    def over(self) -> Iterator[DialogTimeline]:
         """The stories that have come to an end since the last asking."""
         done, self.done = self.done, []
         yield from done
 
-    def open(self) -> Iterator[Story]:
+    def open(self) -> Iterator[DialogTimeline]:
         """Those that have not, at the end of the trace."""
         yield from self.held.values()
 
-    def _leg_ended(self, story: Story, now: int, record: list[Any]) -> None:
+    def _leg_ended(self, story: DialogTimeline, now: int, record: list[Any]) -> None:
         _, _, _, gw, how, rsn, _, free, size = record
         for leg in reversed(story.legs):
             if leg.gw == gw and leg.how is None:
@@ -200,13 +200,13 @@
         if story.final != OPEN and all(leg.how is not None for leg in story.legs):
             self._close(story)
 
-    def _final(self, story: Story, how: str, now: int) -> None:
+    def _final(self, story: DialogTimeline, how: str, now: int) -> None:
         if story.final == OPEN:
             story.final, story.final_at = how, now
         if all(leg.how is not None for leg in story.legs):
             self._close(story)
 
-    def _close(self, story: Story) -> None:
+    def _close(self, story: DialogTimeline) -> None:
         if self.held.pop((story.source, story.dialog), None) is not None:
             self.done.append(story)
 
@@ -216,9 +216,9 @@
             self.done.append(self.held.pop(key))
 
 
-def stories_of(trace: Trace) -> Iterator[Story]:
+def dialog_timelines(trace: Trace) -> Iterator[DialogTimeline]:
     """Each dialog of a trace once, as it comes to its end or the trace does."""
-    stories = Stories(trace.sources)
+    stories = TimelineBuilder(trace.sources)
     for entry in trace.entries():
         stories.take(entry)
         yield from stories.over()
--- a/tests/test_spans.py
+++ b/tests/test_spans.py
@@ -18,10 +18,10 @@
 from gingergap.spans.tree import Files, Trees, trees, worth_keeping
 from gingergap.trace.format import CODES, FORMAT, Header, Source
 from gingergap.trace.instrumentation import TraceBuffer, answer_id, message_id
-from gingergap.trace.live import LiveStories
+from gingergap.trace.live import LiveTimelines
 from gingergap.trace.merge import merge
-from gingergap.trace.stories import stories_of
 from gingergap.trace.stream import opened
+from gingergap.trace.timeline import dialog_timelines
 
 TYPES = [[15_000, 90_000, 0.1, 1.0, True, None], [25_000, 90_000, 0.1, 3.0, True, None]]
 FIGURES = {"here": 0, "types": TYPES}
@@ -51,7 +51,7 @@
 def test_waits_are_what_no_leg_and_no_answer_covers(busy, tmp_path):  # noqa: F811
     buffer, header = busy
     (trace,) = opened([written(tmp_path, header, buffer.records)])
-    for story in stories_of(trace):
+    for story in dialog_timelines(trace):
         covered = sum(over - begun for begun, over in story.waits())
         covered += sum(
             min(leg.stood if leg.stood >= 0 else leg.ended, story.final_at) - leg.sent
@@ -125,7 +125,7 @@
     source = Source(header.module, header.epoch, header.instance, header.wall, header.started, header.figures)
     live = LiveSpans(tmp_path, source, 100)
     figures = CallFigures(["voice", "video"])
-    stories = LiveStories(source, structlog.get_logger(), [live.over, figures.over])
+    stories = LiveTimelines(source, structlog.get_logger(), [live.over, figures.over])
     half = len(buffer.records) // 2
     for name, records in (("p0-e1-000.trace", buffer.records[:half]), ("p0-e1-001.trace", buffer.records[half:])):
         live.file(name, stories.stories.place)
@@ -143,8 +143,8 @@
         assert record[0] == CODES["dialog_received"]
     text = figures.text()
     counted = sum(float(line.rpartition(" ")[2]) for line in text.splitlines() if line.startswith("gingergap_dialogs_total{"))
-    ended = sum(story.final != "open" for story in stories_of(trace)) - sum(
-        1 for story in stories_of(trace) if story.final != "open" and any(leg.how is None for leg in story.legs)
+    ended = sum(story.final != "open" for story in dialog_timelines(trace)) - sum(
+        1 for story in dialog_timelines(trace) if story.final != "open" and any(leg.how is None for leg in story.legs)
     )
     assert counted == ended
     assert 'gingergap_set_up_seconds_count{type="voice",way="direct"}' in text
@@ -157,7 +157,7 @@
     counted = []
     source = Source("m", "e", "p", 0.0, 0, FIGURES)
     with structlog.testing.capture_logs() as logs:
-        stories = LiveStories(source, structlog.get_logger(), [bad, counted.append])
+        stories = LiveTimelines(source, structlog.get_logger(), [bad, counted.append])
         for dialog in range(3):
             stories.take(
                 [
@@ -171,7 +171,7 @@
 
 def test_a_gap_ends_the_stories_before_it():
     counted = []
-    stories = LiveStories(Source("m", "e", "p", 0.0, 0, FIGURES), structlog.get_logger(), [counted.append])
+    stories = LiveTimelines(Source("m", "e", "p", 0.0, 0, FIGURES), structlog.get_logger(), [counted.append])
     stories.take(
         [
             [CODES["dialog_received"], 10, 1, 0, 1, 1, "n", 30_000, False, False, False, -1],
--- a/tests/test_trace_tap.py
+++ b/tests/test_trace_tap.py
@@ -10,9 +10,9 @@
 from gingergap.benchlink.__main__ import serve
 from gingergap.cli.main import main
 from gingergap.trace.format import BadTraceError
-from gingergap.trace.stories import stories_of
 from gingergap.trace.stream import opened
 from gingergap.trace.tap import batches, converted
+from gingergap.trace.timeline import dialog_timelines
 
 
 def wire(path, *played):
@@ -54,7 +54,7 @@
     done = converted(wire(tmp_path / "tap", *day()), tmp_path / "out")
     assert done.differ == 0 and done.batches == done.replies == 21
     (trace,) = opened([tmp_path / "out"])
-    stories = list(stories_of(trace))
+    stories = list(dialog_timelines(trace))
     assert len(stories) == 20 and sum(story.final == "stood" for story in stories) == 7
     result = CliRunner().invoke(main, ["trace", "replay", str(tmp_path / "out")])
     assert result.exit_code == 0 and "all alike" in result.output
@@ -72,7 +72,7 @@
     result = CliRunner().invoke(main, ["trace", "from-tap", str(path), "--out", str(tmp_path / "out")])
     assert result.exit_code == 1 and "1 differ" in result.output and "Elsewhere" in result.output
     (trace,) = opened([tmp_path / "out"])
-    assert len(list(stories_of(trace))) == 7  # up to the batch before
+    assert len(list(dialog_timelines(trace))) == 7  # up to the batch before
 
 
 @pytest.mark.parametrize(
--- a/tests/test_trace_tools.py
+++ b/tests/test_trace_tools.py
@@ -23,8 +23,8 @@
 from gingergap.trace.merge import merge, order
 from gingergap.trace.replay import Replay, replay
 from gingergap.trace.snapshot import freeze, state_of
-from gingergap.trace.stories import STOOD, stories_of
 from gingergap.trace.stream import Entry, opened
+from gingergap.trace.timeline import STOOD, dialog_timelines
 from gingergap.trace.window import dialog_of
 
 TICK, SENT, CAME = CODES["tick"], CODES["sent"], CODES["received"]
@@ -110,7 +110,7 @@
 
 
 def test_two_windows_that_split_a_dialog_both_replay(long, tmp_path):
-    story = max(stories_of(long), key=lambda one: one.last - one.came)
+    story = max(dialog_timelines(long), key=lambda one: one.last - one.came)
     middle = (story.came + story.last) // 2
     assert story.came < middle < story.last
     heard = []
@@ -121,17 +121,17 @@
         heard += [entry for entry in trace.entries() if low <= entry.now <= high and dialog_of(entry) == story.dialog]
     whole = [entry for entry in long.entries() if dialog_of(entry) == story.dialog]
     assert heard == whole and len(whole) > 2
-    here = {one.dialog: one for one in stories_of(opened([tmp_path / "a.trace"])[0])}
+    here = {one.dialog: one for one in dialog_timelines(opened([tmp_path / "a.trace"])[0])}
     assert here[story.dialog].final == "open"
 
 
 def test_dialogs_and_far_ends_are_cut_out_with_the_whole_of_their_lives(long, tmp_path):
-    story = next(one for one in stories_of(long) if one.legs and one.final == STOOD)
+    story = next(one for one in dialog_timelines(long) if one.legs and one.final == STOOD)
     span = span_of(long, None, None, frozenset({story.dialog}), None)
     assert (span.low, span.high) == (story.came, story.last) and span.focus == {(0, story.dialog)}
     span = span_of(long, None, None, frozenset(), 2)
-    touched = {(0, one.dialog) for one in stories_of(long) if one.touches(2)}
-    assert span.focus == touched and 0 < len(touched) < len(list(stories_of(long)))
+    touched = {(0, one.dialog) for one in dialog_timelines(long) if one.touches(2)}
+    assert span.focus == touched and 0 < len(touched) < len(list(dialog_timelines(long)))
     copy = cut(long, span, tmp_path / "far.trace", bare=True)
     (bare,) = opened([tmp_path / "far.trace"])
     dialogs = {entry.record[trace_format.DIALOG_AT[entry.record[0]]] for entry in bare.entries()}
@@ -411,7 +411,7 @@
     path.write_text(TIMID)
     (trace,) = opened([written(tmp_path, header, buffer.records)])
     found = compare(trace.sources, trace.entries(), True, module_at(path))
-    stories = list(stories_of(trace))
+    stories = list(dialog_timelines(trace))
     assert found.decisions == replayed(header, buffer.records).actions
     withheld = sum(kind.many for name, kind in found.kinds.items() if name.startswith("send_leg ->"))
     assert withheld == sum(bool(one.legs) and one.dialog % 5 == 0 for one in stories) > 3
