--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -24,7 +24,7 @@
 from gingergap.store.book import Book
 from gingergap.store.records import ALIVE, CALLER, EXCHANGE, PAIR, Change
 from gingergap.trace.stream import opened
-from gingergap.trace.timeline import STOOD, dialog_timelines
+from gingergap.trace.timeline import ESTABLISHED, dialog_timelines
 
 DAY = Path(__file__).resolve().parent.parent / "days" / "restarts.sexp"
 FIRST = 100_000  # ten seconds
@@ -132,7 +132,7 @@
                 continue
             came += 1
             worth += types[story.kind][3]
-            if story.final == STOOD and story.took <= types[story.kind][0]:
+            if story.final == ESTABLISHED and story.took <= types[story.kind][0]:
                 earned += types[story.kind][3]
         trace.close()
     report = json.loads((folder / "report.json").read_text())
--- a/gingergap/metrics/calls.py
+++ b/gingergap/metrics/calls.py
@@ -3,7 +3,7 @@
 from prometheus_client import CollectorRegistry, Counter, Histogram, generate_latest
 
 from ..host import LegEnd
-from ..trace.timeline import STOOD, DialogTimeline
+from ..trace.timeline import ESTABLISHED, DialogTimeline
 
 BUCKETS = (0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0)  # seconds: shapes of a plot, no decision
 
@@ -26,7 +26,7 @@
         kind = self.types[story.kind]
         way = "transit" if story.transit else "tandem" if any(leg.number != story.far for leg in story.legs) else "direct"
         self.dialogs.labels(kind, way, story.final, story.cause()).inc()
-        if story.final == STOOD:
+        if story.final == ESTABLISHED:
             self.set_up.labels(kind, way).observe(story.took / 10_000)
         for leg in story.legs:
             end = "stood" if leg.stood >= 0 else LegEnd(leg.how).name.lower() if leg.how is not None else "out"
--- a/gingergap/spans/tree.py
+++ b/gingergap/spans/tree.py
@@ -12,7 +12,7 @@
 from ..host import LegEnd
 from ..trace.format import Source
 from ..trace.stream import Trace
-from ..trace.timeline import OPEN, STOOD, DialogTimeline, dialog_timelines
+from ..trace.timeline import ESTABLISHED, OPEN, DialogTimeline, dialog_timelines
 
 MOST_CROSSINGS = 100_000
 
@@ -129,7 +129,7 @@
                     {},
                 )
             )
-        return Tree(trace_id, source.instance, self.wall, spans, story.final == STOOD)
+        return Tree(trace_id, source.instance, self.wall, spans, story.final == ESTABLISHED)
 
 
 def trees(trace: Trace) -> Iterator[Tree]:
--- a/gingergap/trace/compare.py
+++ b/gingergap/trace/compare.py
@@ -22,7 +22,7 @@
 from .replay import Asked, controller_of, feed
 from .snapshot import BadSnapshotError, freeze, thaw
 from .stream import Entry
-from .timeline import STOOD, DialogTimeline, TimelineBuilder
+from .timeline import ESTABLISHED, DialogTimeline, TimelineBuilder
 
 SEND, DECLINE, ABORT = CODES["send_leg"], CODES["decline"], CODES["abort"]
 SHOWN = 3  # examples kept of each kind
@@ -206,8 +206,8 @@
 ) -> None:
     types = sources[story.source].figures["types"]
     objective, importance = types[story.kind][0], types[story.kind][3]
-    in_time = story.final == STOOD and story.took <= objective
-    outcome = "stood in time" if in_time else "stood late" if story.final == STOOD else story.final
+    in_time = story.final == ESTABLISHED and story.took <= objective
+    outcome = "stood in time" if in_time else "stood late" if story.final == ESTABLISHED else story.final
     if in_time and not story.transit:
         result.stood += importance
     for kind in open_differences.pop((story.source, story.dialog), []):
--- a/gingergap/trace/tally.py
+++ b/gingergap/trace/tally.py
@@ -11,7 +11,20 @@
 from ..host import GwState, LegEnd, Rsn
 from .format import CODES, Header, Source
 from .stream import Entry
-from .timeline import ABORT, CAME, DECLINE, DECLINED, GIVEN_UP, LEG_ENDED, SEND, STANDS, STOOD, DialogTimeline, Leg, TimelineBuilder
+from .timeline import (
+    ABORT,
+    CAME,
+    DECLINE,
+    DECLINED,
+    ESTABLISHED,
+    GIVEN_UP,
+    LEG_ENDED,
+    SEND,
+    STANDS,
+    DialogTimeline,
+    Leg,
+    TimelineBuilder,
+)
 
 TICK, EXCHANGE_LIST_RECEIVED, EXCHANGE_LIST_FAILED, TRUNK_GROUP_REPORTED, DIALOG_REJECTED, RAN_LATE = (
     CODES[name]
@@ -253,7 +266,7 @@
         far = here.at(story.far)
         far.asked += 1
         busy = story.legs and story.legs[-1].how == LegEnd.BUSY or story.final == GIVEN_UP and story.took < objective
-        if (story.final != STOOD or story.took > objective) and not busy:  # lines in use and short tempers are nobody's fault
+        if (story.final != ESTABLISHED or story.took > objective) and not busy:  # lines in use and short tempers are nobody's fault
             far.lost += 1
             far.lost_full += short
             far.lost_kept += not short and not story.legs and not story.redialled  # redials are judged, full or not
@@ -265,8 +278,8 @@
         if cause:
             self.causes[cause] += 1
             here.causes[cause] += 1
-            kind[story.final if story.final != STOOD else "cut"] += 1
-        if story.final == STOOD:
+            kind[story.final if story.final != ESTABLISHED else "cut"] += 1
+        if story.final == ESTABLISHED:
             here.stood += 1
             kind["stood"] += 1
             if story.took > objective:
--- a/gingergap/trace/timeline.py
+++ b/gingergap/trace/timeline.py
@@ -24,7 +24,7 @@
     )
 )
 SENT, CAME_BY = CODES["sent"], CODES["received"]
-STOOD, DECLINED, ABORTED, GIVEN_UP, OPEN = "stood", "declined", "aborted", "given up", "open"
+ESTABLISHED, DECLINED, ABORTED, GIVEN_UP, OPEN = "stood", "declined", "aborted", "given up", "open"
 
 
 class Leg:
@@ -104,7 +104,7 @@
 
     def cause(self) -> str:
         """Why it did not stand, as its own records tell."""
-        if self.final == STOOD:
+        if self.final == ESTABLISHED:
             return "cut" if self.legs and self.legs[-1].how == LegEnd.CUT else ""
         if self.final == GIVEN_UP:
             return "given up by the caller"
@@ -166,7 +166,7 @@
         elif code == STANDS:
             if story.legs:
                 story.legs[-1].stood = now
-            story.final, story.final_at = STOOD, now
+            story.final, story.final_at = ESTABLISHED, now
         elif code == LEG_ENDED:
             self._leg_ended(story, now, record)
         elif code == DECLINE:
@@ -195,7 +195,7 @@
             if leg.gw == gw and leg.how is None:
                 leg.how, leg.rsn, leg.free, leg.size, leg.ended = LegEnd(how), rsn, free, size, now
                 break
-        if story.final == STOOD:
+        if story.final == ESTABLISHED:
             story.ended = now
         if story.final != OPEN and all(leg.how is not None for leg in story.legs):
             self._close(story)
--- a/tests/test_trace_tools.py
+++ b/tests/test_trace_tools.py
@@ -24,7 +24,7 @@
 from gingergap.trace.replay import Replay, replay
 from gingergap.trace.snapshot import freeze, state_of
 from gingergap.trace.stream import Entry, opened
-from gingergap.trace.timeline import STOOD, dialog_timelines
+from gingergap.trace.timeline import ESTABLISHED, dialog_timelines
 from gingergap.trace.window import dialog_of
 
 TICK, SENT, CAME = CODES["tick"], CODES["sent"], CODES["received"]
@@ -126,7 +126,7 @@
 
 
 def test_dialogs_and_far_ends_are_cut_out_with_the_whole_of_their_lives(long, tmp_path):
-    story = next(one for one in dialog_timelines(long) if one.legs and one.final == STOOD)
+    story = next(one for one in dialog_timelines(long) if one.legs and one.final == ESTABLISHED)
     span = span_of(long, None, None, frozenset({story.dialog}), None)
     assert (span.low, span.high) == (story.came, story.last) and span.focus == {(0, story.dialog)}
     span = span_of(long, None, None, frozenset(), 2)
@@ -416,7 +416,7 @@
     withheld = sum(kind.many for name, kind in found.kinds.items() if name.startswith("send_leg ->"))
     assert withheld == sum(bool(one.legs) and one.dialog % 5 == 0 for one in stories) > 3
     lost = sum(kind.lost for name, kind in found.kinds.items() if name.endswith("-> decline"))
-    stood = [one for one in stories if one.final == STOOD and one.dialog % 5 == 0]
+    stood = [one for one in stories if one.final == ESTABLISHED and one.dialog % 5 == 0]
     declined = [name for name in found.kinds if name == "send_leg -> decline"]
     assert lost <= len(stood) and (lost > 0) == bool(declined and stood)
     same = compare(trace.sources, trace.entries(), True, call_controller)
