--- a/benchmarks/causes.py
+++ b/benchmarks/causes.py
@@ -21,7 +21,7 @@
 from gingergap.standins.script import Plan
 from gingergap.trace.causes import bad_stretches
 from gingergap.trace.stream import opened
-from gingergap.trace.tally import Tally
+from gingergap.trace.summary import TraceSummary
 
 TYPES = [
     {
@@ -144,11 +144,11 @@
         number = int(trace.header.figures["here"])
         if kind == "own processor" and number not in struck or kind == "one far end" and number in struck:
             continue
-        tally = Tally(trace.sources, 10_000)
+        summary = TraceSummary(trace.sources, 10_000)
         for entry in trace.entries():
-            tally.take(entry)
-        tally.end()
-        stretches = bad_stretches(tally.all_slices(), tally.span, tally.usual(), tally.objective())
+            summary.take(entry)
+        summary.end()
+        stretches = bad_stretches(summary.all_slices(), summary.span, summary.usual(), summary.objective())
         trace.close()
         if not stretches:
             found.append((number, "nothing", None, fault.kind))
--- a/gingergap/cli/trace.py
+++ b/gingergap/cli/trace.py
@@ -315,21 +315,21 @@
 def summarise(files: tuple[Path, ...], span: float, chart: Path | None) -> None:
     """Service, declines by cause, set-up times, far ends' troubles over time, and the likeliest cause of each bad stretch."""
     from ..trace.causes import bad_stretches
-    from ..trace.tally import Tally
+    from ..trace.summary import TraceSummary
     from .trace_tables import draw, tables
 
     for one in _opened(files):
-        tally = Tally(one.sources, round(span * UNIT))
+        summary = TraceSummary(one.sources, round(span * UNIT))
         for entry in one.entries():
-            tally.take(entry)
-        tally.end()
-        stretches = bad_stretches(tally.all_slices(), tally.span, tally.usual(), tally.objective())
-        tables(one, tally, stretches)
+            summary.take(entry)
+        summary.end()
+        stretches = bad_stretches(summary.all_slices(), summary.span, summary.usual(), summary.objective())
+        tables(one, summary, stretches)
         _breaks([one])
         if chart is not None:
             name = chart if len(files) == 1 and not chart.is_dir() else chart.with_name(f"{chart.stem}-{one.name}{chart.suffix}")
             try:
-                draw(one, tally, stretches, name)
+                draw(one, summary, stretches, name)
             except ValueError as error:
                 fail(f"{name}: {error}")
             click.echo(f"{name}: drawn")
--- a/gingergap/cli/trace_tables.py
+++ b/gingergap/cli/trace_tables.py
@@ -6,7 +6,7 @@
 
 from ..trace.causes import Stretch, far_troubles, slow_limit
 from ..trace.stream import Trace
-from ..trace.tally import Tally
+from ..trace.summary import TraceSummary
 from .tables import rows
 
 UNIT = 10_000
@@ -14,15 +14,15 @@
 SHOWN = 12  # spans of time in a table of far ends
 
 
-def tables(trace: Trace, tally: Tally, stretches: list[Stretch]) -> None:
+def tables(trace: Trace, summary: TraceSummary, stretches: list[Stretch]) -> None:
     """Service, declines, set-up times, far ends' troubles, bad stretches."""
     began = trace.header.started
-    names = [f"{source.instance}-{source.epoch}" for source in tally.sources]
+    names = [f"{source.instance}-{source.epoch}" for source in summary.sources]
     print(
-        f"{trace.name}: {', '.join(names)}: {(tally.last - tally.first) / UNIT:.1f} s"
-        + (f", {tally.gaps} gaps" if tally.gaps else "")
+        f"{trace.name}: {', '.join(names)}: {(summary.last - summary.first) / UNIT:.1f} s"
+        + (f", {summary.gaps} gaps" if summary.gaps else "")
     )
-    kinds = tally.sources[0].figures["types"]
+    kinds = summary.sources[0].figures["types"]
     rows(
         "service by traffic type",
         [
@@ -38,16 +38,16 @@
                 "cut": many["cut"],
                 "service": round(many["in time"] / many["came"], 4) if many["came"] else "",
             }
-            for kind, many in sorted(tally.by_kind.items())
+            for kind, many in sorted(summary.by_kind.items())
         ],
     )
-    rows("what did not stand, by cause", [{"cause": cause, "dialogs": many} for cause, many in tally.causes.most_common()])
+    rows("what did not stand, by cause", [{"cause": cause, "dialogs": many} for cause, many in summary.causes.most_common()])
     times = [
         (name, histogram)
         for name, histogram in (
-            ("set-up, direct", tally.set_up[True]),
-            ("set-up, over a tandem", tally.set_up[False]),
-            ("final answer of the rest", tally.answered),
+            ("set-up, direct", summary.set_up[True]),
+            ("set-up, over a tandem", summary.set_up[False]),
+            ("final answer of the rest", summary.answered),
         )
         if histogram.get_total_count()
     ]
@@ -63,7 +63,7 @@
             for name, histogram in times
         ],
     )
-    _far_ends(tally, began)
+    _far_ends(summary, began)
     for stretch in stretches:
         print(
             f"bad stretch at {names[stretch.source]}, {(stretch.begin - began) / UNIT:.1f} s to "
@@ -76,35 +76,35 @@
         print("no bad stretch")
 
 
-def _far_ends(tally: Tally, began: int) -> None:
+def _far_ends(summary: TraceSummary, began: int) -> None:
     """Far ends with troubles, a column for each of a dozen spans of the whole time."""
-    limit = slow_limit(tally.usual(), tally.objective())
-    width = max(tally.span, -(-(tally.last - tally.first + 1) // SHOWN))
+    limit = slow_limit(summary.usual(), summary.objective())
+    width = max(summary.span, -(-(summary.last - summary.first + 1) // SHOWN))
     many: dict[int, dict[int, int]] = {}
     legs: dict[int, int] = {}
-    for one in tally.all_slices():
-        column = max(0, one.begin - tally.first) // width
+    for one in summary.all_slices():
+        column = max(0, one.begin - summary.first) // width
         for number, far in one.far.items():
             legs[number] = legs.get(number, 0) + far.legs
             troubles = far_troubles(far, limit) + far.overtaken + far.lost_full
             if troubles:
                 row = many.setdefault(number, {})
                 row[column] = row.get(column, 0) + troubles
-    columns = range(-(-(tally.last - tally.first + 1) // width))
+    columns = range(-(-(summary.last - summary.first + 1) // width))
     rows(
         "far ends' troubles over time (seconds)",
         [
             {
                 "far end": number,
                 "legs": legs[number],
-                **{f"{(tally.first - began + column * width) / UNIT:.0f}": row.get(column, "") for column in columns},
+                **{f"{(summary.first - began + column * width) / UNIT:.0f}": row.get(column, "") for column in columns},
             }
             for number, row in sorted(many.items())
         ],
     )
 
 
-def draw(trace: Trace, tally: Tally, stretches: list[Stretch], path: Path) -> None:
+def draw(trace: Trace, summary: TraceSummary, stretches: list[Stretch], path: Path) -> None:
     """Dialogs, troubles and set-up times over time, bad stretches shaded. Raises ValueError for a kind of file that
     can't be drawn, OSError where it can't be written."""
     import matplotlib
@@ -112,16 +112,16 @@
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    began, limit = trace.header.started, slow_limit(tally.usual(), tally.objective())
-    figure, axes = pyplot.subplots(len(tally.sources), 1, figsize=(11, 3 * len(tally.sources)), squeeze=False, sharex=True)
+    began, limit = trace.header.started, slow_limit(summary.usual(), summary.objective())
+    figure, axes = pyplot.subplots(len(summary.sources), 1, figsize=(11, 3 * len(summary.sources)), squeeze=False, sharex=True)
 
     def seconds(when: float) -> float:
         return (when - began) / UNIT
 
     for source, axis in enumerate(axes[:, 0]):
-        held = [one for one in tally.all_slices() if one.source == source]
+        held = [one for one in summary.all_slices() if one.source == source]
         at = [seconds(one.begin) for one in held]
-        width = tally.span / UNIT
+        width = summary.span / UNIT
 
         def bars(
             value: Callable[[Any], float],
@@ -152,7 +152,7 @@
         other.axhline(limit / 10, color="#00798c", linewidth=0.5, linestyle=":")
         other.set_ylabel("ms")
         axis.set_ylabel("dialogs")
-        axis.set_title(f"{tally.sources[source].instance}-{tally.sources[source].epoch}", loc="left", fontsize=9)
+        axis.set_title(f"{summary.sources[source].instance}-{summary.sources[source].epoch}", loc="left", fontsize=9)
     axes[0, 0].legend(loc="upper right", fontsize=8)
     axes[-1, 0].set_xlabel("seconds since the process began")
     figure.tight_layout()
--- a/gingergap/trace/causes.py
+++ b/gingergap/trace/causes.py
@@ -19,7 +19,7 @@
 from typing import NamedTuple
 
 from ..host import LegEnd, Rsn
-from .tally import STANDSTILL, Far, Slice
+from .summary import STANDSTILL, Far, TimeSlice
 
 PROCESSOR, ONE_FAR, ALL_FAR, CIRCUITS, LIST, ANSWERS = (
     "own processor",
@@ -70,17 +70,17 @@
     return max(0, slow + silent - far.overtaken) + far.ends[LegEnd.UNREACHABLE] + refused + far.lost_kept
 
 
-def troubles(one: Slice, limit: int) -> int:
+def troubles(one: TimeSlice, limit: int) -> int:
     """Everything in a slice that went as it should not."""
     of_far = sum(far_troubles(far, limit) + far.overtaken + far.lost_full for far in one.far.values())
     return of_far + one.turned_away
 
 
-def bad_stretches(slices: Iterable[Slice], span: int, usual: int, objective: int) -> list[Stretch]:
+def bad_stretches(slices: Iterable[TimeSlice], span: int, usual: int, objective: int) -> list[Stretch]:
     """Bad stretches in order of source and time. `span` of a slice, `usual` set-up and the shortest setup `objective` in
     tenths of a millisecond."""
     limit = slow_limit(usual, objective)
-    by_source: dict[int, list[Slice]] = {}
+    by_source: dict[int, list[TimeSlice]] = {}
     for one in slices:
         by_source.setdefault(one.source, []).append(one)
     found = []
@@ -95,7 +95,7 @@
     return found
 
 
-def stretches(slices: list[Slice], span: int, limit: int) -> list[tuple[int, int]]:
+def stretches(slices: list[TimeSlice], span: int, limit: int) -> list[tuple[int, int]]:
     """Begin and end of runs of bad slices. A standstill is bad whatever came in it: callers could not even be heard."""
     found: list[tuple[int, int]] = []
     for one in slices:
@@ -111,7 +111,7 @@
 
 
 def judged(
-    source: int, begin: int, end: int, inside: list[Slice], after: list[Slice], limit: int, objective: int
+    source: int, begin: int, end: int, inside: list[TimeSlice], after: list[TimeSlice], limit: int, objective: int
 ) -> Stretch | None:
     """What a stretch's troubles speak for; none where there are too few to say."""
     voices = dict.fromkeys((PROCESSOR, ONE_FAR, ALL_FAR, CIRCUITS, LIST, ANSWERS), 0.0)
--- a/gingergap/trace/tally.py
+++ b/gingergap/trace/summary.py
@@ -72,7 +72,7 @@
         self.set_ups: list[int] = []  # of legs that stood
 
 
-class Slice:
+class TimeSlice:
     """One span of one source. Dialogs count in the span of their arrival, legs in that of their start; in transit ones
     are apart: they are another proxy's dialogs too."""
 
@@ -123,13 +123,13 @@
         return far
 
 
-class Tally:
+class TraceSummary:
     """Takes entries in order. `span` in tenths of a millisecond."""
 
     def __init__(self, sources: list[Source] | list[Header], span: int) -> None:
         self.sources, self.span = sources, span
         self.stories = TimelineBuilder(sources)
-        self.slices: list[dict[int, Slice]] = [{} for _ in sources]
+        self.slices: list[dict[int, TimeSlice]] = [{} for _ in sources]
         self.heard: list[int] = [-1] * len(sources)
         self.states: list[dict[int, tuple[int, int]]] = [{} for _ in sources]  # gw: state and start, as last listed
         self.free: list[dict[int, int]] = [{} for _ in sources]  # circuits to each exchange number, as last told
@@ -178,7 +178,7 @@
         for story in self.stories.open():
             self._over(story)
 
-    def all_slices(self) -> list[Slice]:
+    def all_slices(self) -> list[TimeSlice]:
         return [one for by_begin in self.slices for _, one in sorted(by_begin.items())]
 
     def usual(self) -> int:
@@ -189,11 +189,11 @@
         """The shortest setup objective of any source."""
         return min(kind[0] for source in self.sources for kind in source.figures["types"])
 
-    def slice(self, source: int, now: int) -> Slice:
+    def slice(self, source: int, now: int) -> TimeSlice:
         begin = now - now % self.span
         found = self.slices[source].get(begin)
         if found is None:
-            found = self.slices[source][begin] = Slice(source, begin)
+            found = self.slices[source][begin] = TimeSlice(source, begin)
         return found
 
     def _quiet(self, source: int, since: int, until: int) -> None:
@@ -209,7 +209,7 @@
         if length >= STANDSTILL:
             self.still_until[source] = until
 
-    def _listed(self, here: Slice, source: int, now: int, entries: list[list[Any]]) -> None:
+    def _listed(self, here: TimeSlice, source: int, now: int, entries: list[list[Any]]) -> None:
         states = self.states[source]
         for gw, number, state, started in entries:
             known = states.get(gw)
@@ -222,7 +222,7 @@
         if size >= 0:
             self.free[source][self.stories.numbers[source].get(gw, -1)] = free
 
-    def _step(self, here: Slice, source: int, now: int, record: list[Any], story: DialogTimeline) -> None:
+    def _step(self, here: TimeSlice, source: int, now: int, record: list[Any], story: DialogTimeline) -> None:
         """A record of a dialog: circuits when it came, and legs that others overtake."""
         code, key = record[0], (source, story.dialog)
         if code == CAME:
--- a/tests/test_trace_causes.py
+++ b/tests/test_trace_causes.py
@@ -19,7 +19,7 @@
 )
 from gingergap.trace.format import CODES, FORMAT, Header
 from gingergap.trace.stream import Entry
-from gingergap.trace.tally import Slice, Tally
+from gingergap.trace.summary import TimeSlice, TraceSummary
 
 SPAN, USUAL, OBJECTIVE = 10_000, 160, 15_000
 LIMIT = slow_limit(USUAL, OBJECTIVE)
@@ -30,7 +30,7 @@
     """A calm time: ten dialogs a second, spread over the far ends."""
     found = []
     for number in range(many):
-        one = Slice(source, number * SPAN)
+        one = TimeSlice(source, number * SPAN)
         one.came = one.stood = 9
         for far_end in far_ends:
             far = one.at(far_end)
@@ -162,7 +162,7 @@
 
 
 def test_no_trouble_of_a_far_end_counts_twice():
-    one = Slice(0, 0)
+    one = TimeSlice(0, 0)
     far = one.at(1)
     far.set_ups, far.overtaken = [LIMIT + 1, 10], 1
     assert far_troubles(far, LIMIT) == 0
@@ -177,14 +177,14 @@
     """Makes records, keeps time, and lets the beat go on fifty times a second unless the process stands still."""
 
     def __init__(self):
-        self.tally = Tally([Header(FORMAT, "m", "e", "p", 0.0, 0, FIGURES)], SPAN)
+        self.summary = TraceSummary([Header(FORMAT, "m", "e", "p", 0.0, 0, FIGURES)], SPAN)
         self.now, self.dialogs = 0, 0
         self.put("exchange_list_received", 0, [[number, number, int(GwState.READY), 0] for number in range(4)], True)
         for number in (1, 2, 3):
             self.put("trunk_group_reported", 0, number, 20, 20)
 
     def put(self, name, *fields):
-        self.tally.take(Entry(0, self.now, [CODES[name], *fields]))
+        self.summary.take(Entry(0, self.now, [CODES[name], *fields]))
 
     def beats(self, until):
         while self.now + 200 <= until:
@@ -207,8 +207,8 @@
         self.put("leg_ended", self.now, dialog, gw, int(how), int(rsn), over, free, 20)
 
     def done(self):
-        self.tally.end()
-        return self.tally
+        self.summary.end()
+        return self.summary
 
     def call(self, far, took=160):
         dialog = self.came(far)
@@ -224,17 +224,17 @@
 
 
 def causes_of(told):
-    tally = told.done()
-    return bad_stretches(tally.all_slices(), SPAN, tally.usual(), tally.objective())
+    summary = told.done()
+    return bad_stretches(summary.all_slices(), SPAN, summary.usual(), summary.objective())
 
 
 def test_a_calm_trace_is_counted_whole():
     told = Told()
     told.calm(4)
-    tally = told.done()
-    assert tally.by_kind[0]["in time"] == told.dialogs == sum(one.came for one in tally.all_slices())
-    assert tally.usual() == pytest.approx(160, rel=0.01) and bad_stretches(tally.all_slices(), SPAN, 160, OBJECTIVE) == []
-    assert tally.set_up[True].get_total_count() == told.dialogs and tally.objective() == OBJECTIVE
+    summary = told.done()
+    assert summary.by_kind[0]["in time"] == told.dialogs == sum(one.came for one in summary.all_slices())
+    assert summary.usual() == pytest.approx(160, rel=0.01) and bad_stretches(summary.all_slices(), SPAN, 160, OBJECTIVE) == []
+    assert summary.set_up[True].get_total_count() == told.dialogs and summary.objective() == OBJECTIVE
 
 
 def test_a_later_leg_answered_first_shows_a_lost_answer():
@@ -340,10 +340,10 @@
     for _ in range(12):
         told.put("dialog_rejected", told.now, 0, 900, 3)
     told.calm(3)
-    tally = told.done()
-    (stretch,) = bad_stretches(tally.all_slices(), SPAN, tally.usual(), tally.objective())
+    summary = told.done()
+    (stretch,) = bad_stretches(summary.all_slices(), SPAN, summary.usual(), summary.objective())
     assert stretch.cause == PROCESSOR and "20" in stretch.evidence[0]
-    assert max(one.standstill for one in tally.all_slices()) >= 20_000
+    assert max(one.standstill for one in summary.all_slices()) >= 20_000
 
 
 def test_dialogs_in_transit_count_apart_and_gaps_are_no_standstill():
@@ -351,10 +351,10 @@
     told.calm(2)
     before = told.dialogs
     told.put("decline", told.came(1, transit=True), 0)
-    told.tally.take(Entry(0, told.now, ["gap", told.now, told.now + 50_000, 40]))
+    told.summary.take(Entry(0, told.now, ["gap", told.now, told.now + 50_000, 40]))
     told.now += 50_000
     told.calm(2)
-    tally = told.done()
-    assert sum(one.in_transit for one in tally.all_slices()) == 1 == sum(one.transit_refused for one in tally.all_slices())
-    assert tally.by_kind[0]["came"] == told.dialogs - 1 and before < told.dialogs and tally.gaps == 1
-    assert max(one.standstill for one in tally.all_slices()) < 2_500
+    summary = told.done()
+    assert sum(one.in_transit for one in summary.all_slices()) == 1 == sum(one.transit_refused for one in summary.all_slices())
+    assert summary.by_kind[0]["came"] == told.dialogs - 1 and before < told.dialogs and summary.gaps == 1
+    assert max(one.standstill for one in summary.all_slices()) < 2_500
