--- a/benchmarks/causes.py
+++ b/benchmarks/causes.py
@@ -20,7 +20,7 @@
 from gingergap.standins.player import form
 from gingergap.standins.script import Plan
 from gingergap.trace.causes import bad_stretches
-from gingergap.trace.stream import opened
+from gingergap.trace.stream import open_traces
 from gingergap.trace.summary import TraceSummary
 
 TYPES = [
@@ -140,7 +140,7 @@
     struck = plan.strikes[0].members
     fault = day.fault[0]
     found = []
-    for trace in opened([folder / "traces"]):
+    for trace in open_traces([folder / "traces"]):
         number = int(trace.header.figures["here"])
         if kind == "own processor" and number not in struck or kind == "one far end" and number in struck:
             continue
--- a/benchmarks/hour.py
+++ b/benchmarks/hour.py
@@ -18,7 +18,7 @@
 from pathlib import Path
 
 from gingergap.trace.format import is_event
-from gingergap.trace.stream import opened
+from gingergap.trace.stream import open_traces
 from gingergap.trace.window import select
 
 PACKAGE = Path(__file__).resolve().parent.parent / "gingergap"
@@ -72,7 +72,7 @@
     parser = argparse.ArgumentParser()
     parser.add_argument("traces", type=lambda text: Path(text).resolve())
     asked = parser.parse_args()
-    traces = opened([asked.traces])
+    traces = open_traces([asked.traces])
     events = records = 0
     for trace in traces:
         for entry in trace.entries():
@@ -127,7 +127,7 @@
         print(f"merging all took {whole[1] / few[1]:.2f} times the memory of merging the first minute")
         step("summary", 0, "summarise", asked.traces, "--chart", folder / "chart.svg", last=30)
         step("a module with one figure changed", 1, "replay", asked.traces, root=changed(folder), last=4)
-        (largest,) = opened([folder / "all.trace"])
+        (largest,) = open_traces([folder / "all.trace"])
         low = largest.places()[len(largest.places()) // 2].stretch.first
         begun = time.perf_counter()
         window = len(list(select(largest, low, low + 10_000)))
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -23,7 +23,7 @@
 from gingergap.standins.script import Plan
 from gingergap.store.book import Book
 from gingergap.store.records import ALIVE, CALLER, EXCHANGE, PAIR, Change
-from gingergap.trace.stream import opened
+from gingergap.trace.stream import open_traces
 from gingergap.trace.timeline import ESTABLISHED, dialog_timelines
 
 DAY = Path(__file__).resolve().parent.parent / "days" / "restarts.sexp"
@@ -100,7 +100,7 @@
     worth = earned = 0.0
     bad = legs = came = 0
     first_start = {}
-    for trace in opened([folder / "traces"]):
+    for trace in open_traces([folder / "traces"]):
         first_start.setdefault(trace.header.instance, trace.header.wall)
         if restarted == (trace.header.wall == first_start[trace.header.instance]):
             continue
--- a/gingergap/cli/trace.py
+++ b/gingergap/cli/trace.py
@@ -20,9 +20,9 @@
 
 
 def _opened(files: tuple[Path, ...]) -> list[Any]:
-    from ..trace.stream import opened
+    from ..trace.stream import open_traces
 
-    return opened(files)
+    return open_traces(files)
 
 
 def _one(files: tuple[Path, ...]) -> Any:
@@ -138,7 +138,7 @@
 def merge_(files: tuple[Path, ...], out: Path) -> None:
     """Several proxies' traces in one, by one clock: offsets are estimated from what passed between them."""
     from ..trace.merge import merge, order
-    from ..trace.stream import opened
+    from ..trace.stream import open_traces
     from .tables import rows
 
     traces = _opened(files)
@@ -158,7 +158,7 @@
             for source in done.sources
         ],
     )
-    many, turned = order(opened([out])[0])
+    many, turned = order(open_traces([out])[0])
     click.echo(f"{out}: {done.records} records, {many} crossings, {turned} turned round, {done.held_back} held back")
     if done.given_up:
         click.echo(f"no steady clocks fit: one was off by {done.given_up / 10:.1f} ms more than it may; was it set?")
--- a/gingergap/trace/stream.py
+++ b/gingergap/trace/stream.py
@@ -116,7 +116,7 @@
         return self.header.wall + (now - self.header.started) / 10_000
 
 
-def opened(paths: Iterable[Path]) -> list[Trace]:
+def open_traces(paths: Iterable[Path]) -> list[Trace]:
     """Files by the process that wrote them, in order of name. Folders stand for the traces in them. Raises
     BadTraceError."""
     files: list[Path] = []
--- a/gingergap/transport/sockets.py
+++ b/gingergap/transport/sockets.py
@@ -98,7 +98,7 @@
         self.connect_timeout, self.longest_write = connect_timeout, longest_write
         self.most_queued, self.most_connections = most_queued, most_connections
         self.connections: dict[int, Connection] = {}
-        self.opened: dict[tuple[str, int], Connection] = {}  # by us, for requests
+        self.open_traces: dict[tuple[str, int], Connection] = {}  # by us, for requests
         self.numbers = 0
         self.dropped = 0
         self.datagrams: socket.socket | None = None
@@ -158,13 +158,13 @@
             return
         connection = self.connections.get(hop.conn) if hop.conn else None
         if connection is None:
-            connection = self.opened.get((hop.host, hop.port))
+            connection = self.open_traces.get((hop.host, hop.port))
         if connection is None:
             if self.datagrams is None or len(self.connections) >= self.most_connections:
                 gevent.spawn(self.owner.hop_failed, hop, False)
                 return
             connection = self._new(None, hop)
-            self.opened[hop.host, hop.port] = connection
+            self.open_traces[hop.host, hop.port] = connection
             gevent.spawn(connection.open, self.connect_timeout)
         connection.put(data)
 
@@ -260,6 +260,6 @@
     def connection_over(self, connection: Connection, reset: bool) -> None:
         self.connections.pop(connection.hop.conn, None)
         key = connection.hop.host, connection.hop.port
-        if self.opened.get(key) is connection:
-            del self.opened[key]
+        if self.open_traces.get(key) is connection:
+            del self.open_traces[key]
             self.owner.hop_failed(connection.hop, reset)
--- a/tests/test_edge_process.py
+++ b/tests/test_edge_process.py
@@ -12,7 +12,7 @@
 from gingergap.cli.main import main
 from gingergap.standins.player import form, free_ports
 from gingergap.trace.format import CODES, SNAPSHOT
-from gingergap.trace.stream import opened
+from gingergap.trace.stream import open_traces
 
 
 class Edge:
@@ -145,7 +145,7 @@
     assert one.run("trace", "on")[0] == 0
     one.standing()
     one.stop()
-    (trace,) = opened([tmp_path / "t"])
+    (trace,) = open_traces([tmp_path / "t"])
     records = [entry.record for entry in trace.entries()]
     assert sum(record[0] == CODES["dialog_received"] for record in records) == 2
     assert sum(record[0] == SNAPSHOT for record in records) == 2 and [r[0] for r in records if r[0] == "gap"][:1] == ["gap"]
--- a/tests/test_spans.py
+++ b/tests/test_spans.py
@@ -20,7 +20,7 @@
 from gingergap.trace.instrumentation import TraceBuffer, answer_id, message_id
 from gingergap.trace.live import LiveTimelines
 from gingergap.trace.merge import merge
-from gingergap.trace.stream import opened
+from gingergap.trace.stream import open_traces
 from gingergap.trace.timeline import dialog_timelines
 
 TYPES = [[15_000, 90_000, 0.1, 1.0, True, None], [25_000, 90_000, 0.1, 3.0, True, None]]
@@ -29,7 +29,7 @@
 
 def test_every_dialog_is_a_tree_whose_places_lead_to_its_records(busy, tmp_path):  # noqa: F811
     buffer, header = busy
-    (trace,) = opened([written(tmp_path, header, buffer.records, each=150)])
+    (trace,) = open_traces([written(tmp_path, header, buffer.records, each=150)])
     records = [entry.record for entry in trace.entries()]
     found = list(trees(trace))
     arrivals = [record for record in records if record[0] == CODES["dialog_received"]]
@@ -50,7 +50,7 @@
 
 def test_waits_are_what_no_leg_and_no_answer_covers(busy, tmp_path):  # noqa: F811
     buffer, header = busy
-    (trace,) = opened([written(tmp_path, header, buffer.records)])
+    (trace,) = open_traces([written(tmp_path, header, buffer.records)])
     for story in dialog_timelines(trace):
         covered = sum(over - begun for begun, over in story.waits())
         covered += sum(
@@ -111,12 +111,12 @@
 
 def test_in_a_merged_trace_the_tandems_dialog_hangs_from_the_leg_that_it_is(tmp_path):
     crossed = over_a_tandem(tmp_path)
-    merge(opened([tmp_path / "p0.trace", tmp_path / "p2.trace"]), tmp_path / "m.trace")
-    (merged,) = opened([tmp_path / "m.trace"])
+    merge(open_traces([tmp_path / "p0.trace", tmp_path / "p2.trace"]), tmp_path / "m.trace")
+    (merged,) = open_traces([tmp_path / "m.trace"])
     mine, theirs = sorted(trees(merged), key=lambda tree: tree.instance)
     assert mine.trace_id == theirs.trace_id and mine.spans[1].id == crossed == theirs.spans[0].parent
     assert theirs.spans[0].name == "transit" and "crossing" not in theirs.spans[0].fields
-    (alone,) = trees(opened([tmp_path / "p2.trace"])[0])
+    (alone,) = trees(open_traces([tmp_path / "p2.trace"])[0])
     assert alone.spans[0].parent == b"" and alone.spans[0].fields["crossing"] == crossed.hex()
 
 
@@ -132,7 +132,7 @@
         stories.take(records)
     live.close()
     lines = [json.loads(line) for path in sorted(tmp_path.glob("*.spans")) for line in path.read_text().splitlines()]
-    (trace,) = opened([written(tmp_path, header, buffer.records)])
+    (trace,) = open_traces([written(tmp_path, header, buffer.records)])
     kept = [tree for tree in trees(trace) if worth_keeping(tree, 100) and tree.spans[0].fields["final"] != "open"]
     assert sum(line["name"] == "dialog" for line in lines) == len(kept) > 10
     places = {line["attributes"]["gingergap.position"] for line in lines if line["name"] == "dialog"}
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -24,7 +24,7 @@
 from gingergap.trace.recorder import Recorder, blocks, keep_budget
 from gingergap.trace.replay import Replay, replay, words
 from gingergap.trace.snapshot import BadSnapshotError, freeze, thaw
-from gingergap.trace.stream import Trace, opened
+from gingergap.trace.stream import Trace, open_traces
 from gingergap.trace.window import select
 
 
@@ -83,7 +83,7 @@
 
 def test_a_replay_asks_for_the_same_at_every_event(busy, tmp_path):
     buffer, header = busy
-    trace = opened([written(tmp_path, header, buffer.records)])[0]
+    trace = open_traces([written(tmp_path, header, buffer.records)])[0]
     (done,) = replay(trace.sources, trace.entries(), trace.whole)
     assert done.difference is None and done.gaps == 0 and trace.breaks() == []
     assert done.events > 400 and done.actions > 200
@@ -165,7 +165,7 @@
 
 def test_one_dialog_is_found_without_unpacking_the_rest(busy, tmp_path, monkeypatch):
     buffer, header = busy
-    trace = opened([written(tmp_path, header, buffer.records, each=60)])[0]
+    trace = open_traces([written(tmp_path, header, buffer.records, each=60)])[0]
     unpacked, unpack = [], Trace.unpacked
     monkeypatch.setattr(Trace, "unpacked", lambda self, *what: unpacked.append(1) or unpack(self, *what))
     found = [entry.record for entry in select(trace, dialog=5)]
@@ -222,7 +222,7 @@
 
 def test_parts_go_on_from_one_another_and_replay_as_one(busy, tmp_path):
     one, records = in_parts(tmp_path, busy)
-    (trace,) = opened([one.folder])
+    (trace,) = open_traces([one.folder])
     assert len(trace.readers) > 2 and one.states == len(trace.readers) - 1
     (done,) = replay(trace.sources, trace.entries(), trace.whole)
     assert done.difference is None and done.events + done.actions == decisions(records) and done.resumed == 0
@@ -234,7 +234,7 @@
     for path in paths[:2]:
         path.unlink()
     paths[4].unlink()
-    (trace,) = opened([one.folder])
+    (trace,) = open_traces([one.folder])
     (done,) = replay(trace.sources, trace.entries(), trace.whole)
     assert done.difference is None and done.gaps == 2 and done.resumed == 2 and done.passed_over == 0
     assert 0 < done.events + done.actions < decisions(records)
@@ -378,7 +378,7 @@
         old.setitem(trace_format.FRAMES, 2, First)
         old.setattr(trace_format, "stretch_of", lambda payload: frame.unpack_from(payload))
         path = written(tmp_path, Header(1, header.module, "e1", "p0", 0.0, 0, header.figures), plain)
-    (trace,) = opened([path])
+    (trace,) = open_traces([path])
     assert trace.readers[0].version == 1 and all(place.stretch.snapshots == 0 for place in trace.places())
     (done,) = replay(trace.sources, trace.entries(), trace.whole)
     assert done.difference is None and done.events + done.actions == len(plain)
--- a/tests/test_trace_tap.py
+++ b/tests/test_trace_tap.py
@@ -10,7 +10,7 @@
 from gingergap.benchlink.__main__ import serve
 from gingergap.cli.main import main
 from gingergap.trace.format import BadTraceError
-from gingergap.trace.stream import opened
+from gingergap.trace.stream import open_traces
 from gingergap.trace.tap import batches, converted
 from gingergap.trace.timeline import dialog_timelines
 
@@ -53,7 +53,7 @@
 def test_a_wire_becomes_a_trace_that_replays_and_tells_its_dialogs(tmp_path):
     done = converted(wire(tmp_path / "tap", *day()), tmp_path / "out")
     assert done.differ == 0 and done.batches == done.replies == 21
-    (trace,) = opened([tmp_path / "out"])
+    (trace,) = open_traces([tmp_path / "out"])
     stories = list(dialog_timelines(trace))
     assert len(stories) == 20 and sum(story.final == "stood" for story in stories) == 7
     result = CliRunner().invoke(main, ["trace", "replay", str(tmp_path / "out")])
@@ -62,7 +62,7 @@
 
 def test_a_proxy_that_starts_again_is_a_trace_of_its_own(tmp_path):
     converted(wire(tmp_path / "tap", *day(restart=True)), tmp_path / "out")
-    assert [trace.header.epoch for trace in opened([tmp_path / "out"])] == ["0000", "0001"]
+    assert [trace.header.epoch for trace in open_traces([tmp_path / "out"])] == ["0000", "0001"]
 
 
 def test_replies_of_another_version_end_the_conversion_and_are_told(tmp_path):
@@ -71,7 +71,7 @@
     path.write_text(text)
     result = CliRunner().invoke(main, ["trace", "from-tap", str(path), "--out", str(tmp_path / "out")])
     assert result.exit_code == 1 and "1 differ" in result.output and "Elsewhere" in result.output
-    (trace,) = opened([tmp_path / "out"])
+    (trace,) = open_traces([tmp_path / "out"])
     assert len(list(dialog_timelines(trace))) == 7  # up to the batch before
 
 
--- a/tests/test_trace_tools.py
+++ b/tests/test_trace_tools.py
@@ -23,7 +23,7 @@
 from gingergap.trace.merge import merge, order
 from gingergap.trace.replay import Replay, replay
 from gingergap.trace.snapshot import freeze, state_of
-from gingergap.trace.stream import Entry, opened
+from gingergap.trace.stream import Entry, open_traces
 from gingergap.trace.timeline import ESTABLISHED, dialog_timelines
 from gingergap.trace.window import dialog_of
 
@@ -48,11 +48,11 @@
     """A trace with states in it, in blocks of a hundred records."""
     buffer, header = busy
     records = with_states(header, buffer.records, 60)
-    return opened([written(tmp_path, header, records, each=100, name="long.trace")])[0]
+    return open_traces([written(tmp_path, header, records, each=100, name="long.trace")])[0]
 
 
 def all_alike(path):
-    (trace,) = opened([Path(path)])
+    (trace,) = open_traces([Path(path)])
     done = replay(trace.sources, trace.entries(), trace.whole)
     assert all(one.difference is None for one in done), [one.difference for one in done]
     return trace, done
@@ -106,7 +106,7 @@
         buffer, header = fixture.__wrapped__(conftest.peers_of.__wrapped__(), patch)
     finally:
         patch.undo()
-    return opened([written(folder, header, with_states(header, buffer.records, 60), each=100, name="long.trace")])[0], folder
+    return open_traces([written(folder, header, with_states(header, buffer.records, 60), each=100, name="long.trace")])[0], folder
 
 
 def test_two_windows_that_split_a_dialog_both_replay(long, tmp_path):
@@ -121,7 +121,7 @@
         heard += [entry for entry in trace.entries() if low <= entry.now <= high and dialog_of(entry) == story.dialog]
     whole = [entry for entry in long.entries() if dialog_of(entry) == story.dialog]
     assert heard == whole and len(whole) > 2
-    here = {one.dialog: one for one in dialog_timelines(opened([tmp_path / "a.trace"])[0])}
+    here = {one.dialog: one for one in dialog_timelines(open_traces([tmp_path / "a.trace"])[0])}
     assert here[story.dialog].final == "open"
 
 
@@ -133,7 +133,7 @@
     touched = {(0, one.dialog) for one in dialog_timelines(long) if one.touches(2)}
     assert span.focus == touched and 0 < len(touched) < len(list(dialog_timelines(long)))
     copy = cut(long, span, tmp_path / "far.trace", bare=True)
-    (bare,) = opened([tmp_path / "far.trace"])
+    (bare,) = open_traces([tmp_path / "far.trace"])
     dialogs = {entry.record[trace_format.DIALOG_AT[entry.record[0]]] for entry in bare.entries()}
     assert {(0, dialog) for dialog in dialogs} == touched and copy.records < sum(1 for _ in long.entries())
     with pytest.raises(BadTraceError, match="nothing of that"):
@@ -225,7 +225,7 @@
 
 def kept_order(path, traces):
     """Whether each source's records stand in a merged trace in their own order, all of them."""
-    (merged,) = opened([path])
+    (merged,) = open_traces([path])
     found = [[] for _ in merged.sources]
     times = []
     for entry in merged.entries():
@@ -246,7 +246,7 @@
 )
 def test_merged_traces_keep_every_order_and_turn_nothing_round(tmp_path, seed, figures):
     proxies(tmp_path, seed, **figures)
-    traces = opened(sorted(tmp_path.glob("p*.trace")))
+    traces = open_traces(sorted(tmp_path.glob("p*.trace")))
     done = merge(traces, tmp_path / "merged.trace")
     merged = kept_order(tmp_path / "merged.trace", traces)
     many, turned = order(merged)
@@ -271,7 +271,7 @@
     for record in records[1]:
         copy.put(Entry(0, record[1], record))
     copy.close()
-    traces = opened(sorted(tmp_path.glob("p*.trace")))
+    traces = open_traces(sorted(tmp_path.glob("p*.trace")))
     done = merge(traces, tmp_path / "merged.trace")
     merged = kept_order(tmp_path / "merged.trace", traces)
     assert done.given_up > 0 and done.held_back > 0 and done.forced == 0 and order(merged)[1] == 0
@@ -286,7 +286,7 @@
         for record in rows:
             copy.put(Entry(0, record[1], record))
         copy.close()
-    done = merge(opened([tmp_path / "a.trace", tmp_path / "b.trace"]), tmp_path / "m.trace")
+    done = merge(open_traces([tmp_path / "a.trace", tmp_path / "b.trace"]), tmp_path / "m.trace")
     assert done.forced == 1 and done.records == 4
 
 
@@ -297,7 +297,7 @@
     other = trace_format.msgspec.structs.replace(header, instance="p1", module="another", wall=0.3)
     written(tmp_path, other, records, name="b.trace")
     monkeypatch.setattr("gingergap.trace.copy.EACH_BLOCK", 100)
-    merge(opened([tmp_path / "a.trace", tmp_path / "b.trace"]), tmp_path / "m.trace")
+    merge(open_traces([tmp_path / "a.trace", tmp_path / "b.trace"]), tmp_path / "m.trace")
     trace, done = all_alike(tmp_path / "m.trace")
     assert trace.header.module == "several" and [one.source.module for one in done] == [header.module, "another"]
     assert done[0].actions == done[1].actions > 100
@@ -335,7 +335,7 @@
 
 def everything(path):
     """All bytes of a trace file with its blocks unpacked: header, frames, records, snapshots, index."""
-    (trace,) = opened([path])
+    (trace,) = open_traces([path])
     whole = path.read_bytes()
     for reader in trace.readers:
         for block in reader.blocks():
@@ -356,7 +356,7 @@
     header = trace_format.msgspec.structs.replace(header, instance=f"p{called[0]}")
     path = written(tmp_path, header, records, each=100)
     assert all(number.encode() in everything(path) for number in called)
-    (copy,) = anonymise(opened([path])[0], Numbers(KEY), tmp_path / "out")
+    (copy,) = anonymise(open_traces([path])[0], Numbers(KEY), tmp_path / "out")
     whole = everything(copy.path)
     assert not [number for number in called if number.encode() in whole]
     trace, (done,) = all_alike(copy.path)
@@ -372,8 +372,8 @@
 def test_a_replay_from_an_anonymised_state_goes_on_as_before(busy, tmp_path):  # noqa: F811
     buffer, header = busy
     records = with_states(header, buffer.records, 50)
-    (copy,) = anonymise(opened([written(tmp_path, header, records, each=100)])[0], Numbers(KEY), tmp_path / "out")
-    (trace,) = opened([copy.path])
+    (copy,) = anonymise(open_traces([written(tmp_path, header, records, each=100)])[0], Numbers(KEY), tmp_path / "out")
+    (trace,) = open_traces([copy.path])
     entries = list(trace.entries())
     first = [place for place, entry in enumerate(entries) if entry.record[0] == SNAPSHOT][2]
     (done,) = replay(trace.sources, entries[first:], whole=False)
@@ -384,7 +384,7 @@
     _, header = busy
     path = written(tmp_path, header, [[SNAPSHOT, 1, b"junk"], [TICK, 2]])
     with pytest.raises(BadTraceError, match="not known which numbers"):
-        anonymise(opened([path])[0], Numbers(KEY), tmp_path / "out")
+        anonymise(open_traces([path])[0], Numbers(KEY), tmp_path / "out")
 
 
 # --- compare and diff ---
@@ -409,7 +409,7 @@
     buffer, header = busy
     path = tmp_path / "timid.py"
     path.write_text(TIMID)
-    (trace,) = opened([written(tmp_path, header, buffer.records)])
+    (trace,) = open_traces([written(tmp_path, header, buffer.records)])
     found = compare(trace.sources, trace.entries(), True, module_at(path))
     stories = list(dialog_timelines(trace))
     assert found.decisions == replayed(header, buffer.records).actions
@@ -426,7 +426,7 @@
 def test_nothing_is_said_of_another_version_where_this_one_does_not_decide_as_noted(busy, tmp_path):  # noqa: F811
     buffer, header = busy
     records = [[CODES["abort"], record[1]] if record[0] == CODES["decline"] else record for record in buffer.records]
-    (trace,) = opened([written(tmp_path, header, records)])
+    (trace,) = open_traces([written(tmp_path, header, records)])
     with pytest.raises(BadTraceError, match="does not decide as was noted"):
         compare(trace.sources, trace.entries(), True, call_controller)
 
@@ -453,17 +453,19 @@
 
 def test_two_traces_are_told_apart_at_the_first_record(busy, tmp_path):  # noqa: F811
     buffer, header = busy
-    (left,) = opened([written(tmp_path, header, buffer.records, name="a.trace")])
-    (same,) = opened([written(tmp_path, header, [record for record in buffer.records if record[0] < FIRST_NOTE], name="b.trace")])
+    (left,) = open_traces([written(tmp_path, header, buffer.records, name="a.trace")])
+    (same,) = open_traces(
+        [written(tmp_path, header, [record for record in buffer.records if record[0] < FIRST_NOTE], name="b.trace")]
+    )
     assert difference(left, same).place == -1
     wrong = list(buffer.records)
     place = next(place for place, record in enumerate(wrong) if record[0] == CODES["decline"])
     wrong[place] = [CODES["decline"], wrong[place][1], 77_777]
-    (right,) = opened([written(tmp_path, header, wrong, name="c.trace")])
+    (right,) = open_traces([written(tmp_path, header, wrong, name="c.trace")])
     found = difference(left, right)
     heard = sum(record[0] < FIRST_NOTE for record in buffer.records[:place])
     assert found.place == heard and found.right[2] == 77_777 and found.before
-    (shorter,) = opened([written(tmp_path, header, buffer.records[:-30], name="d.trace")])
+    (shorter,) = open_traces([written(tmp_path, header, buffer.records[:-30], name="d.trace")])
     found = difference(left, shorter)
     assert found.right is None and found.counts
 
@@ -529,7 +531,7 @@
     (tmp_path / "short").write_text("x y z")
     (tmp_path / "key").write_bytes(KEY)
     (tmp_path / "empty").mkdir()
-    (trace,) = opened([path])
+    (trace,) = open_traces([path])
     cut(trace, span_of(trace, None, None, frozenset({5}), None), tmp_path / "bare.trace", bare=True)
     before = path.read_bytes()
     if words == ["info", "."]:
@@ -548,7 +550,7 @@
             buffer.records,
             name=f"p0-{epoch}-000.trace",
         )
-    traces = opened([tmp_path])
+    traces = open_traces([tmp_path])
     assert [trace.header.epoch for trace in traces] == ["e1", "e2"]
     merge(traces, tmp_path / "m.trace")
     merged = kept_order(tmp_path / "m.trace", traces)
--- a/tests/test_trace_versions.py
+++ b/tests/test_trace_versions.py
@@ -25,7 +25,7 @@
     present_arguments,
     stored_arguments,
 )
-from gingergap.trace.stream import opened
+from gingergap.trace.stream import open_traces
 
 RECORDED = Path(__file__).parent / "data" / "first-names.trace"
 STORED = {
@@ -114,7 +114,7 @@
 
 @pytest.fixture
 def recorded():
-    (trace,) = opened([RECORDED])
+    (trace,) = open_traces([RECORDED])
     return trace
 
 
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -109,7 +109,7 @@
     highest = 0
     for _ in range(2_000):
         sockets.transmit(message, hop)
-        connection = sockets.opened.get(hop[1:3])
+        connection = sockets.open_traces.get(hop[1:3])
         highest = max(highest, connection.queued if connection else 0)
         gevent.sleep(0)
         if owner.failed:
