--- a/gingergap/cli/trace.py
+++ b/gingergap/cli/trace.py
@@ -90,7 +90,7 @@
     files: tuple[Path, ...], since: float | None, until: float | None, dialog: int | None, place: int | None, around: int
 ) -> None:
     """Events and what was decided, one line each. Blocks outside the window or without the dialog are not unpacked."""
-    from ..trace.replay import words
+    from ..trace.replay import format_record
     from ..trace.window import at_place, select
 
     for one in _opened(files):
@@ -98,10 +98,12 @@
         if place is not None:
             for where, entry in at_place(one, place, around):
                 mark = ">" if where == place else " "
-                click.echo(f"{mark}{where:8d} {(entry.now - began) / UNIT:10.4f}  {names[entry.source]}{words(entry.record)}")
+                click.echo(
+                    f"{mark}{where:8d} {(entry.now - began) / UNIT:10.4f}  {names[entry.source]}{format_record(entry.record)}"
+                )
             continue
         for entry in select(one, _since(one, since), _since(one, until), dialog):
-            click.echo(f"{(entry.now - began) / UNIT:10.4f}  {names[entry.source]}{words(entry.record)}")
+            click.echo(f"{(entry.now - began) / UNIT:10.4f}  {names[entry.source]}{format_record(entry.record)}")
         _breaks([one])
 
 
@@ -231,21 +233,21 @@
 
 
 def _show(difference: Any, began: int) -> None:
-    from ..trace.replay import words
+    from ..trace.replay import format_record
 
     def bare(record: list[Any] | None) -> str:
-        return words(record).strip().removeprefix("-> ") if record else "nothing"
+        return format_record(record).strip().removeprefix("-> ") if record else "nothing"
 
     click.echo(f"record {difference.place} differs")
     for record in difference.before:
-        click.echo(f"  {words(record)}")
+        click.echo(f"  {format_record(record)}")
     click.echo(f"  noted: {bare(difference.noted)}")
     click.echo(f"  asked: {bare(difference.asked)}")
 
 
 def _compared(traces: list[Any], path: Path) -> int:
     from ..trace.compare import compare, module_at
-    from ..trace.replay import words
+    from ..trace.replay import format_record
     from .tables import rows
 
     other = module_at(path)
@@ -277,7 +279,7 @@
                 click.echo(
                     f"  {name}: record {example.place}, {(example.now - one.header.started) / UNIT:.4f} s: "
                     + "; ".join(
-                        f"{who} {words(action).strip().removeprefix('-> ') if action else 'nothing'}"
+                        f"{who} {format_record(action).strip().removeprefix('-> ') if action else 'nothing'}"
                         for who, action in (("noted", example.noted), ("other", example.asked))
                     )
                 )
@@ -290,7 +292,7 @@
 def diff(left: Path, right: Path) -> None:
     """Whether two traces say the same: exit 0, or 1 with the first record that differs."""
     from ..trace.difference import difference
-    from ..trace.replay import words
+    from ..trace.replay import format_record
 
     found = difference(_one((left,)), _one((right,)))
     for line in found.headers:
@@ -300,9 +302,9 @@
         return
     click.echo(f"record {found.place} of {found.records} differs")
     for record in found.before:
-        click.echo(f"  {words(record)}")
-    click.echo(f"  {left}: {words(found.left).strip() if found.left else 'is over'}")
-    click.echo(f"  {right}: {words(found.right).strip() if found.right else 'is over'}")
+        click.echo(f"  {format_record(record)}")
+    click.echo(f"  {left}: {format_record(found.left).strip() if found.left else 'is over'}")
+    click.echo(f"  {right}: {format_record(found.right).strip() if found.right else 'is over'}")
     for name, here, there in found.counts:
         click.echo(f"  {name}: {here} and {there}")
     sys.exit(1)
--- a/gingergap/trace/compare.py
+++ b/gingergap/trace/compare.py
@@ -19,7 +19,7 @@
 from .. import call_controller
 from .earlier_versions import adapted
 from .format import CODES, DIALOG_AT, FIRST_NOTE, NAMES, SNAPSHOT, BadTraceError, Source, is_action, is_event
-from .replay import Asked, controller_of, feed
+from .replay import ActionCollector, create_controller, feed
 from .snapshot import BadSnapshotError, freeze, thaw
 from .stream import Entry
 from .timeline import ESTABLISHED, DialogTimeline, TimelineBuilder
@@ -81,11 +81,11 @@
 
     def __init__(self, source: Source, whole: bool, other: ModuleType) -> None:
         self.source, self.other = source, other
-        self.own_host, self.other_host = Asked(), Asked()
+        self.own_host, self.other_host = ActionCollector(), ActionCollector()
         self.own: Any = None
         self.others: Any = None
         if whole:
-            self.own, self.others = controller_of(source, self.own_host), controller_of(source, self.other_host, other)
+            self.own, self.others = create_controller(source, self.own_host), create_controller(source, self.other_host, other)
         self.noted: list[list[Any]] = []
         self.at = 0, 0  # place and time of the event under way
 
--- a/gingergap/trace/replay.py
+++ b/gingergap/trace/replay.py
@@ -28,7 +28,7 @@
     before: list[list[Any]]
 
 
-class Asked:
+class ActionCollector:
     """A host that keeps what it is asked for."""
 
     def __init__(self) -> None:
@@ -39,7 +39,7 @@
         return lambda *fields: self.done.append([code, *fields])
 
 
-def controller_of(header: Header | Source, host: Any, module: ModuleType = call_controller) -> Any:
+def create_controller(header: Header | Source, host: Any, module: ModuleType = call_controller) -> Any:
     """The module as it was made when the trace was begun."""
     figures = present_arguments(header.figures)
     types = [TrafficType(*entry[:5], None if entry[5] is None else frozenset(entry[5])) for entry in figures.pop("traffic_types")]
@@ -61,12 +61,12 @@
         controller.leg_ended(now, dialog, gw, LegEnd(how), rsn, over, free, size)
     elif name == "restore":
         now, told, age = fields
-        controller.restore(now, learned_of(told), age)
+        controller.restore(now, learned_from_lists(told), age)
     else:
         getattr(controller, name)(*fields)
 
 
-def learned_of(told: list[Any]) -> Learned:
+def learned_from_lists(told: list[Any]) -> Learned:
     """What a module was told of another's memory, from plain lists."""
     at, exchanges, pairs, callers, best_rate, pace = told
     return Learned(
@@ -84,8 +84,8 @@
 
     def __init__(self, source: Header | Source, whole: bool = True, module: ModuleType = call_controller) -> None:
         self.source, self.module = source, module
-        self.host = Asked()
-        self.controller = controller_of(source, self.host, module) if whole else None
+        self.host = ActionCollector()
+        self.controller = create_controller(source, self.host, module) if whole else None
         self.before: deque[list[Any]] = deque(maxlen=SHOWN)
         self.place = 0
         self.events = self.actions = self.passed_over = self.gaps = self.resumed = 0
@@ -162,7 +162,7 @@
     return replays
 
 
-def words(record: list[Any]) -> str:
+def format_record(record: list[Any]) -> str:
     """A record as a person reads it."""
     if record[0] == "gap":
         lost = "events not counted, lost" if record[3] < 0 else f"{record[3]} events lost"
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -15,7 +15,7 @@
 from gingergap.store.book import Book
 from gingergap.store.memory import Memory, Word, age_of, recalled
 from gingergap.store.records import ALIVE, CALLER, EXCHANGE, PAIR, STANDING, TOKEN, KeptAlive, KeptStanding, parts
-from gingergap.trace.replay import learned_of
+from gingergap.trace.replay import learned_from_lists
 
 MINUTE = 60 * SECOND
 
@@ -210,7 +210,7 @@
 def test_nothing_that_is_remembered_shuts_a_far_end_out_for_good(known, age):
     now = 10**9
     made, host = controller(now)
-    made.restore(now, learned_of([known.now, *known[1:]]), age)
+    made.restore(now, learned_from_lists([known.now, *known[1:]]), age)
     for exchange in made.exchanges.values():
         assert exchange.overloaded_until <= now + 2 * SECOND and exchange.cold_blocked_until <= now + 2 * SECOND
         group = exchange.group
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -22,7 +22,7 @@
 from gingergap.trace.format import CODES, FIRST_ACTION, FIRST_NOTE, FORMAT, SNAPSHOT, BadTraceError, Header, Reader, Writer
 from gingergap.trace.instrumentation import TraceBuffer, module_digest
 from gingergap.trace.recorder import Recorder, blocks, keep_budget
-from gingergap.trace.replay import Replay, replay, words
+from gingergap.trace.replay import Replay, format_record, replay
 from gingergap.trace.snapshot import BadSnapshotError, freeze, thaw
 from gingergap.trace.stream import Trace, open_traces
 from gingergap.trace.window import select
@@ -180,7 +180,7 @@
     middle = buffer.records[len(buffer.records) // 2]
     inside = list(select(trace, 1_000, 5_000))
     assert inside and all(1_000 <= entry.now <= 5_000 for entry in inside)
-    assert words(middle)
+    assert format_record(middle)
 
 
 def test_a_tape_that_is_full_loses_whole_events_and_counts_them():
