--- a/benchmarks/causes.py
+++ b/benchmarks/causes.py
@@ -19,7 +19,7 @@
 from gingergap.settings.forms import read
 from gingergap.standins.player import form
 from gingergap.standins.script import Plan
-from gingergap.trace.causes import bad_stretches
+from gingergap.trace.causes import find_bad_stretches
 from gingergap.trace.stream import open_traces
 from gingergap.trace.summary import TraceSummary
 
@@ -148,7 +148,7 @@
         for entry in trace.entries():
             summary.take(entry)
         summary.end()
-        stretches = bad_stretches(summary.all_slices(), summary.span, summary.usual(), summary.objective())
+        stretches = find_bad_stretches(summary.all_slices(), summary.span, summary.usual(), summary.objective())
         trace.close()
         if not stretches:
             found.append((number, "nothing", None, fault.kind))
--- a/gingergap/cli/trace.py
+++ b/gingergap/cli/trace.py
@@ -316,7 +316,7 @@
 @click.option("--chart", type=FILE, default=None, help="Also draw it into this .svg, .png or .pdf file.")
 def summarise(files: tuple[Path, ...], span: float, chart: Path | None) -> None:
     """Service, declines by cause, set-up times, far ends' troubles over time, and the likeliest cause of each bad stretch."""
-    from ..trace.causes import bad_stretches
+    from ..trace.causes import find_bad_stretches
     from ..trace.summary import TraceSummary
     from .trace_tables import draw, tables
 
@@ -325,7 +325,7 @@
         for entry in one.entries():
             summary.take(entry)
         summary.end()
-        stretches = bad_stretches(summary.all_slices(), summary.span, summary.usual(), summary.objective())
+        stretches = find_bad_stretches(summary.all_slices(), summary.span, summary.usual(), summary.objective())
         tables(one, summary, stretches)
         _breaks([one])
         if chart is not None:
--- a/gingergap/cli/trace_tables.py
+++ b/gingergap/cli/trace_tables.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 from typing import Any
 
-from ..trace.causes import Stretch, far_troubles, slow_limit
+from ..trace.causes import BadStretch, count_destination_failures, slow_limit
 from ..trace.stream import Trace
 from ..trace.summary import TraceSummary
 from .tables import rows
@@ -14,7 +14,7 @@
 SHOWN = 12  # spans of time in a table of far ends
 
 
-def tables(trace: Trace, summary: TraceSummary, stretches: list[Stretch]) -> None:
+def tables(trace: Trace, summary: TraceSummary, stretches: list[BadStretch]) -> None:
     """Service, declines, set-up times, far ends' troubles, bad stretches."""
     began = trace.header.started
     names = [f"{source.instance}-{source.epoch}" for source in summary.sources]
@@ -86,7 +86,7 @@
         column = max(0, one.begin - summary.first) // width
         for number, far in one.far.items():
             legs[number] = legs.get(number, 0) + far.legs
-            troubles = far_troubles(far, limit) + far.overtaken + far.lost_full
+            troubles = count_destination_failures(far, limit) + far.overtaken + far.lost_full
             if troubles:
                 row = many.setdefault(number, {})
                 row[column] = row.get(column, 0) + troubles
@@ -104,7 +104,7 @@
     )
 
 
-def draw(trace: Trace, summary: TraceSummary, stretches: list[Stretch], path: Path) -> None:
+def draw(trace: Trace, summary: TraceSummary, stretches: list[BadStretch], path: Path) -> None:
     """Dialogs, troubles and set-up times over time, bad stretches shaded. Raises ValueError for a kind of file that
     can't be drawn, OSError where it can't be written."""
     import matplotlib
--- a/gingergap/trace/causes.py
+++ b/gingergap/trace/causes.py
@@ -42,7 +42,7 @@
 SILENT = (LegEnd.NO_ANSWER, LegEnd.CUT, LegEnd.CANCELLED)
 
 
-class Stretch(NamedTuple):
+class BadStretch(NamedTuple):
     """A bad stretch of one source: from and to in tenths of a millisecond, dialogs that came, troubles, dialogs lost, the
     cause named, troubles by cause, and a line of evidence for each cause that anything speaks for."""
 
@@ -62,7 +62,7 @@
     return max(SLOW_TIMES * usual, objective // SLOW_PART)
 
 
-def far_troubles(far: Far, limit: int) -> int:
+def count_destination_failures(far: Far, limit: int) -> int:
     """Legs and dialogs of a slice that speak against a far end, overtaken ones apart."""
     slow = sum(took > limit for took in far.set_ups)
     refused = far.refused[Rsn.PROCESSOR_FULL]
@@ -72,11 +72,11 @@
 
 def troubles(one: TimeSlice, limit: int) -> int:
     """Everything in a slice that went as it should not."""
-    of_far = sum(far_troubles(far, limit) + far.overtaken + far.lost_full for far in one.far.values())
+    of_far = sum(count_destination_failures(far, limit) + far.overtaken + far.lost_full for far in one.far.values())
     return of_far + one.turned_away
 
 
-def bad_stretches(slices: Iterable[TimeSlice], span: int, usual: int, objective: int) -> list[Stretch]:
+def find_bad_stretches(slices: Iterable[TimeSlice], span: int, usual: int, objective: int) -> list[BadStretch]:
     """Bad stretches in order of source and time. `span` of a slice, `usual` set-up and the shortest setup `objective` in
     tenths of a millisecond."""
     limit = slow_limit(usual, objective)
@@ -89,7 +89,7 @@
         for begin, end in stretches(held, span, limit):
             inside = [one for one in held if begin <= one.begin < end]
             after = [one for one in held if end <= one.begin < end + LIST_AFTER]
-            stretch = judged(source, begin, end, inside, after, limit, objective)
+            stretch = diagnose(source, begin, end, inside, after, limit, objective)
             if stretch is not None:
                 found.append(stretch)
     return found
@@ -110,9 +110,9 @@
     return found
 
 
-def judged(
+def diagnose(
     source: int, begin: int, end: int, inside: list[TimeSlice], after: list[TimeSlice], limit: int, objective: int
-) -> Stretch | None:
+) -> BadStretch | None:
     """What a stretch's troubles speak for; none where there are too few to say."""
     voices = dict.fromkeys((PROCESSOR, ONE_FAR, ALL_FAR, CIRCUITS, LIST, ANSWERS), 0.0)
     late = {}
@@ -131,7 +131,7 @@
         still = max(still, one.standstill if stands_still else 0)
         turned_away += one.turned_away
         for number, far in one.far.items():
-            many = far_troubles(far, limit)
+            many = count_destination_failures(far, limit)
             if stands_still or stood_still:  # what a process that stood still saw of others says nothing of them
                 still_lost += many + far.overtaken + far.lost_full
                 continue
@@ -171,13 +171,13 @@
     if total < STRETCH_LEAST:
         return None
     cause = max(voices, key=lambda name: voices[name])
-    evidence = lines(voices, still, turned_away, by_far, kinds, late, limit, sum(overtaken.values()))
-    return Stretch(
+    evidence = format_evidence(voices, still, turned_away, by_far, kinds, late, limit, sum(overtaken.values()))
+    return BadStretch(
         source, begin, end, sum(one.came for one in inside), round(total), sum(one.lost for one in inside), cause, voices, evidence
     )
 
 
-def lines(
+def format_evidence(
     voices: dict[str, float],
     still: int,
     turned_away: int,
--- a/tests/test_trace_causes.py
+++ b/tests/test_trace_causes.py
@@ -12,8 +12,8 @@
     LIST,
     ONE_FAR,
     PROCESSOR,
-    bad_stretches,
-    far_troubles,
+    count_destination_failures,
+    find_bad_stretches,
     slow_limit,
     stretches,
 )
@@ -41,7 +41,7 @@
 
 
 def judge(held):
-    return bad_stretches(held, SPAN, USUAL, OBJECTIVE)
+    return find_bad_stretches(held, SPAN, USUAL, OBJECTIVE)
 
 
 def test_a_calm_time_has_no_bad_stretch_and_one_failure_is_chance():
@@ -165,9 +165,9 @@
     one = TimeSlice(0, 0)
     far = one.at(1)
     far.set_ups, far.overtaken = [LIMIT + 1, 10], 1
-    assert far_troubles(far, LIMIT) == 0
+    assert count_destination_failures(far, LIMIT) == 0
     far.ends[LegEnd.NO_ANSWER] = 2
-    assert far_troubles(far, LIMIT) == 2
+    assert count_destination_failures(far, LIMIT) == 2
 
 
 # --- from records ---
@@ -225,7 +225,7 @@
 
 def causes_of(told):
     summary = told.done()
-    return bad_stretches(summary.all_slices(), SPAN, summary.usual(), summary.objective())
+    return find_bad_stretches(summary.all_slices(), SPAN, summary.usual(), summary.objective())
 
 
 def test_a_calm_trace_is_counted_whole():
@@ -233,7 +233,7 @@
     told.calm(4)
     summary = told.done()
     assert summary.by_kind[0]["in time"] == told.dialogs == sum(one.came for one in summary.all_slices())
-    assert summary.usual() == pytest.approx(160, rel=0.01) and bad_stretches(summary.all_slices(), SPAN, 160, OBJECTIVE) == []
+    assert summary.usual() == pytest.approx(160, rel=0.01) and find_bad_stretches(summary.all_slices(), SPAN, 160, OBJECTIVE) == []
     assert summary.set_up[True].get_total_count() == told.dialogs and summary.objective() == OBJECTIVE
 
 
@@ -341,7 +341,7 @@
         told.put("dialog_rejected", told.now, 0, 900, 3)
     told.calm(3)
     summary = told.done()
-    (stretch,) = bad_stretches(summary.all_slices(), SPAN, summary.usual(), summary.objective())
+    (stretch,) = find_bad_stretches(summary.all_slices(), SPAN, summary.usual(), summary.objective())
     assert stretch.cause == PROCESSOR and "20" in stretch.evidence[0]
     assert max(one.standstill for one in summary.all_slices()) >= 20_000
 
