--- a/benchmarks/causes.py
+++ b/benchmarks/causes.py
@@ -146,14 +146,14 @@
             continue
         summary = TraceSummary(trace.sources, 10_000)
         for entry in trace.entries():
-            summary.take(entry)
-        summary.end()
-        stretches = find_bad_stretches(summary.all_slices(), summary.span, summary.usual(), summary.objective())
+            summary.add(entry)
+        summary.finish()
+        stretches = find_bad_stretches(summary.all_slices(), summary.interval, summary.median_setup(), summary.shortest_objective())
         trace.close()
         if not stretches:
             found.append((number, "nothing", None, fault.kind))
             continue
-        worst = max(stretches, key=lambda one: one.troubles)
+        worst = max(stretches, key=lambda stretch: stretch.failures)
         found.append((number, worst.cause, worst, fault.kind))
     return found
 
--- a/benchmarks/hour.py
+++ b/benchmarks/hour.py
@@ -18,8 +18,8 @@
 from pathlib import Path
 
 from gingergap.trace.format import is_event
+from gingergap.trace.query import select
 from gingergap.trace.stream import open_traces
-from gingergap.trace.window import select
 
 PACKAGE = Path(__file__).resolve().parent.parent / "gingergap"
 
@@ -84,14 +84,14 @@
         f"{size / 2**20:.1f} MB, {size / events:.1f} bytes an event"
     )
     began = min(trace.header.wall for trace in traces)
-    span = max(trace.wall(trace.places()[-1].stretch.last) for trace in traces) - began
+    span = max(trace.wall_time(trace.block_locations()[-1].summary.last_time) for trace in traces) - began
     with tempfile.TemporaryDirectory(prefix="gingergap-hour-") as scratch:
         folder = Path(scratch)
         took, _ = step("replay of all", 0, "replay", asked.traces)
         print(f"    {span * len(traces) / took:.0f} times real time, all processes together {span:.0f} s each")
-        longest = max(traces, key=lambda trace: sum(place.stretch.records for place in trace.places()))
+        longest = max(traces, key=lambda trace: sum(location.summary.record_count for location in trace.block_locations()))
         files = [reader.path for reader in longest.readers]
-        middle = (longest.places()[-1].stretch.last - longest.header.started) / 10_000 / 2
+        middle = (longest.block_locations()[-1].summary.last_time - longest.header.started) / 10_000 / 2
         step("cut of a minute", 0, "cut", *files, "--from", middle, "--to", middle + 60, "--out", folder / "cut.trace")
         step("replay of the cut", 0, "replay", folder / "cut.trace")
         whole = step("merge of all", 0, "merge", asked.traces, "--out", folder / "all.trace", last=12)
@@ -111,8 +111,8 @@
         step("replay of that", 0, "replay", folder / "part.trace")
         for number, trace in enumerate(traces):
             early = trace.header.started + 10_000 * 60
-            places = [place for place in trace.places() if place.stretch.first <= early]
-            if places and trace.whole:
+            locations = [location for location in trace.block_locations() if location.summary.first_time <= early]
+            if locations and trace.from_start:
                 step(
                     f"first minute of {trace.name}",
                     0,
@@ -128,12 +128,12 @@
         step("summary", 0, "summarise", asked.traces, "--chart", folder / "chart.svg", last=30)
         step("a module with one figure changed", 1, "replay", asked.traces, root=changed(folder), last=4)
         (largest,) = open_traces([folder / "all.trace"])
-        low = largest.places()[len(largest.places()) // 2].stretch.first
+        low = largest.block_locations()[len(largest.block_locations()) // 2].summary.first_time
         begun = time.perf_counter()
         window = len(list(select(largest, low, low + 10_000)))
         sought = time.perf_counter() - begun
         begun = time.perf_counter()
-        scanned = sum(low <= entry.now <= low + 10_000 for entry in largest.entries())
+        scanned = sum(low <= entry.time <= low + 10_000 for entry in largest.entries())
         full = time.perf_counter() - begun
         print(
             f"a second's window of {window} records: {sought * 1000:.1f} ms, by a full scan {full * 1000:.0f} ms "
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -113,12 +113,12 @@
         )
         begin = trace.header.started
         types = trace.header.figures["types"]
-        for story in dialog_timelines(trace):
+        for timeline in dialog_timelines(trace):
             lead = 0 if restarted else round((epoch * 10_000) - begin)
-            if story.came > begin + lead + FIRST:
+            if timeline.arrived_at > begin + lead + FIRST:
                 continue
-            for leg in story.legs:
-                at = leg.sent / 10_000 - epoch
+            for leg in timeline.legs:
+                at = leg.sent_at / 10_000 - epoch
                 struck = {
                     number
                     for kind in ("slow", "vanish")
@@ -127,13 +127,13 @@
                     for number in strike.members
                 }
                 legs += 1
-                bad += leg.number in struck
-            if story.transit:
+                bad += leg.exchange in struck
+            if timeline.transit:
                 continue
             came += 1
-            worth += types[story.kind][3]
-            if story.final == ESTABLISHED and story.took <= types[story.kind][0]:
-                earned += types[story.kind][3]
+            worth += types[timeline.traffic_type][3]
+            if timeline.outcome == ESTABLISHED and timeline.final_answer_delay <= types[timeline.traffic_type][0]:
+                earned += types[timeline.traffic_type][3]
         trace.close()
     report = json.loads((folder / "report.json").read_text())
     broken = sum(rule["broken"] for rule in report["rules"].values())
--- a/benchmarks/trace.py
+++ b/benchmarks/trace.py
@@ -12,9 +12,9 @@
 import msgspec
 import zstandard
 
-from gingergap.trace.format import FIRST_ACTION, Reader, events_block
+from gingergap.trace.format import FIRST_ACTION, Reader, pack_events_block
+from gingergap.trace.query import select
 from gingergap.trace.replay import replay
-from gingergap.trace.window import select
 
 
 def timed(run, *args):
@@ -30,7 +30,7 @@
     lines = b"\n".join(msgspec.json.encode(record) for record in records)
     packed = msgspec.msgpack.encode(records)
     print(f"{len(readers)} traces, {events} events, {len(records) - events} actions")
-    for name, data in (("JSON lines", lines), ("msgpack", packed), ("block", events_block(records))):
+    for name, data in (("JSON lines", lines), ("msgpack", packed), ("block", pack_events_block(records))):
         print(f"{name}: {len(data) / events:.1f} bytes an event, {len(data) / len(lines):.3f} of JSON lines")
     for name, run in (("zstd 3", zstandard.ZstdCompressor(level=3).compress), ("zlib 6", zlib.compress)):
         small, took = timed(run, packed)
@@ -40,11 +40,11 @@
     for reader in readers:
         done, took = timed(lambda reader=reader: replay(reader.header, reader.records()))
         assert done.difference is None, done.difference
-        spans, played, decisions = spans + done.span / 10_000, played + took, decisions + done.actions
+        spans, played, decisions = spans + done.duration / 10_000, played + took, decisions + done.actions
     print(f"replay: {spans:.1f} s in {played:.2f} s, {spans / played:.0f} times real time, {decisions} decisions, all alike")
-    reader = max(readers, key=lambda one: sum(frame.records for _, frame in one.stretches()))
-    stretches = reader.stretches()
-    low = stretches[len(stretches) // 2][1].first
+    reader = max(readers, key=lambda one: sum(summary.record_count for _, summary in one.block_summaries()))
+    summaries = reader.block_summaries()
+    low = summaries[len(summaries) // 2][1].first_time
     _, window = timed(lambda: list(select(reader, low, low + 10_000)))
     _, scan = timed(
         lambda: [
--- a/gingergap/cli/trace.py
+++ b/gingergap/cli/trace.py
@@ -38,7 +38,7 @@
 
 def _breaks(traces: list[Any]) -> None:
     for one in traces:
-        for line in one.breaks():
+        for line in one.corruption_messages():
             click.echo(line)
 
 
@@ -59,7 +59,7 @@
     lines = []
     for one in _opened(files):
         for reader in one.readers:
-            stretches = reader.stretches()
+            summaries = reader.block_summaries()
             for source in one.sources:
                 lines.append(
                     {
@@ -67,12 +67,12 @@
                         "instance": source.instance,
                         "epoch": source.epoch,
                         "module": source.module[:8],
-                        "from_s": round((stretches[0][1].first - one.header.started) / UNIT, 1) if stretches else 0,
-                        "to_s": round((stretches[-1][1].last - one.header.started) / UNIT, 1) if stretches else 0,
-                        "records": sum(frame.records for _, frame in stretches),
-                        "states": sum(frame.snapshots for _, frame in stretches),
+                        "from_s": round((summaries[0][1].first_time - one.header.started) / UNIT, 1) if summaries else 0,
+                        "to_s": round((summaries[-1][1].last_time - one.header.started) / UNIT, 1) if summaries else 0,
+                        "records": sum(summary.record_count for _, summary in summaries),
+                        "states": sum(summary.snapshot_count for _, summary in summaries),
                         "clock": f"{source.offset} +-{source.uncertain:g}" if one.merged else "",
-                        "ends": f"byte {reader.broken.at}: {reader.broken.why}" if reader.broken else "in order",
+                        "ends": f"byte {reader.corruption.offset}: {reader.corruption.reason}" if reader.corruption else "in order",
                     }
                 )
         one.close()
@@ -90,20 +90,20 @@
     files: tuple[Path, ...], since: float | None, until: float | None, dialog: int | None, place: int | None, around: int
 ) -> None:
     """Events and what was decided, one line each. Blocks outside the window or without the dialog are not unpacked."""
+    from ..trace.query import records_around, select
     from ..trace.replay import format_record
-    from ..trace.window import at_place, select
 
     for one in _opened(files):
         began, names = one.header.started, [f"{source.instance} " if one.merged else "" for source in one.sources]
         if place is not None:
-            for where, entry in at_place(one, place, around):
+            for where, entry in records_around(one, place, around):
                 mark = ">" if where == place else " "
                 click.echo(
-                    f"{mark}{where:8d} {(entry.now - began) / UNIT:10.4f}  {names[entry.source]}{format_record(entry.record)}"
+                    f"{mark}{where:8d} {(entry.time - began) / UNIT:10.4f}  {names[entry.source]}{format_record(entry.record)}"
                 )
             continue
         for entry in select(one, _since(one, since), _since(one, until), dialog):
-            click.echo(f"{(entry.now - began) / UNIT:10.4f}  {names[entry.source]}{format_record(entry.record)}")
+            click.echo(f"{(entry.time - began) / UNIT:10.4f}  {names[entry.source]}{format_record(entry.record)}")
         _breaks([one])
 
 
@@ -125,13 +125,16 @@
     bare: bool,
 ) -> None:
     """A part of a trace, by time, dialog or far end, that can be replayed by itself."""
-    from ..trace.cut import cut, span_of
+    from ..trace.cut import cut, resolve_selection
 
     one = _one(files)
-    span = span_of(one, _since(one, since), _since(one, until), frozenset(dialogs), far)
-    copy = cut(one, span, out, bare)
+    selection = resolve_selection(one, _since(one, since), _since(one, until), frozenset(dialogs), far)
+    writer = cut(one, selection, out, bare)
     _breaks([one])
-    click.echo(f"{out}: {copy.records} records, {copy.writer.size} bytes" + (f", {len(span.focus)} dialogs" if span.focus else ""))
+    click.echo(
+        f"{out}: {writer.record_count} records, {writer.writer.size} bytes"
+        + (f", {len(selection.focus)} dialogs" if selection.focus else "")
+    )
 
 
 @trace.command("merge")
@@ -139,7 +142,7 @@
 @click.option("--out", type=FILE, required=True, help="The new file.")
 def merge_(files: tuple[Path, ...], out: Path) -> None:
     """Several proxies' traces in one, by one clock: offsets are estimated from what passed between them."""
-    from ..trace.merge import merge, order
+    from ..trace.merge import count_reordered, merge
     from ..trace.stream import open_traces
     from .tables import rows
 
@@ -160,10 +163,10 @@
             for source in done.sources
         ],
     )
-    many, turned = order(open_traces([out])[0])
+    many, turned = count_reordered(open_traces([out])[0])
     click.echo(f"{out}: {done.records} records, {many} crossings, {turned} turned round, {done.held_back} held back")
-    if done.given_up:
-        click.echo(f"no steady clocks fit: one was off by {done.given_up / 10:.1f} ms more than it may; was it set?")
+    if done.relaxed_by:
+        click.echo(f"no steady clocks fit: one was off by {done.relaxed_by / 10:.1f} ms more than it may; was it set?")
     if done.forced:
         click.echo(f"{done.forced} records could not wait for what they say they came after: the traces contradict themselves")
     sys.exit(1 if turned else 0)
@@ -175,10 +178,10 @@
 @click.option("--out", type=FILE, required=True, help="Folder for the new files.")
 def anonymise_(files: tuple[Path, ...], key: Path, out: Path) -> None:
     """Callers' and called numbers replaced by others of the same form, the same ones always by the same."""
-    from ..trace.anonymise import Numbers, anonymise
+    from ..trace.anonymise import NumberCipher, anonymise
 
     try:
-        numbers = Numbers(key.read_bytes().strip())
+        numbers = NumberCipher(key.read_bytes().strip())
     except ValueError as error:
         fail(f"{key}: {error}")
     traces = _opened(files)
@@ -186,8 +189,8 @@
         if any(reader.path.resolve().parent == out.resolve() for reader in one.readers):
             fail(f"{out}: the originals are there; name another folder")
     for one in traces:
-        for copy in anonymise(one, numbers, out):
-            click.echo(f"{copy.path}: {copy.records} records")
+        for writer in anonymise(one, numbers, out):
+            click.echo(f"{writer.path}: {writer.record_count} records")
         _breaks([one])
 
 
@@ -210,13 +213,13 @@
     different = False
     events = decisions = 0
     for one in traces:
-        for done in replay(one.sources, one.entries(), one.whole):
+        for done in replay(one.sources, one.entries(), one.from_start):
             events, decisions = events + done.events, decisions + done.actions
             click.echo(
                 f"{done.source.instance}-{done.source.epoch}: {done.events} events, {done.actions} decisions compared, "
-                f"{done.span / UNIT:.1f} s"
+                f"{done.duration / UNIT:.1f} s"
                 + (
-                    f", {done.gaps} gaps, {done.passed_over} events passed over, {done.resumed} states taken up"
+                    f", {done.gaps} gaps, {done.skipped_events} events passed over, {done.resumed} states taken up"
                     if done.gaps or done.resumed
                     else ""
                 )
@@ -238,11 +241,11 @@
     def bare(record: list[Any] | None) -> str:
         return format_record(record).strip().removeprefix("-> ") if record else "nothing"
 
-    click.echo(f"record {difference.place} differs")
+    click.echo(f"record {difference.record_index} differs")
     for record in difference.before:
         click.echo(f"  {format_record(record)}")
-    click.echo(f"  noted: {bare(difference.noted)}")
-    click.echo(f"  asked: {bare(difference.asked)}")
+    click.echo(f"  noted: {bare(difference.recorded)}")
+    click.echo(f"  asked: {bare(difference.replayed)}")
 
 
 def _compared(traces: list[Any], path: Path) -> int:
@@ -253,22 +256,25 @@
     other = module_at(path)
     different = False
     for one in traces:
-        found = compare(one.sources, one.entries(), one.whole, other)
-        click.echo(f"{one.name}: {found.events} events, {found.decisions} decisions, importance {found.stood:g} stood in time")
+        found = compare(one.sources, one.entries(), one.from_start, other)
+        click.echo(
+            f"{one.name}: {found.events} events, {found.decisions} decisions, "
+            f"importance {found.established_importance:g} stood in time"
+        )
         _breaks([one])
         if not found.kinds:
             click.echo("  all alike")
             continue
         different = True
-        kinds = sorted(found.kinds.items(), key=lambda item: -item[1].many)
+        kinds = sorted(found.kinds.items(), key=lambda item: -item[1].count)
         rows(
             "differences",
             [
                 {
                     "noted -> other": name,
-                    "many": kind.many,
-                    "lost": round(kind.lost, 2),
-                    "at_most_gained": round(kind.at_most_gained, 2),
+                    "many": kind.count,
+                    "lost": round(kind.lost_importance, 2),
+                    "at_most_gained": round(kind.max_gained_importance, 2),
                     "as noted": ", ".join(f"{many} {what}" for what, many in kind.outcomes.most_common()),
                 }
                 for name, kind in kinds
@@ -277,10 +283,10 @@
         for name, kind in kinds:
             for example in kind.examples[:1]:
                 click.echo(
-                    f"  {name}: record {example.place}, {(example.now - one.header.started) / UNIT:.4f} s: "
+                    f"  {name}: record {example.record_index}, {(example.time - one.header.started) / UNIT:.4f} s: "
                     + "; ".join(
                         f"{who} {format_record(action).strip().removeprefix('-> ') if action else 'nothing'}"
-                        for who, action in (("noted", example.noted), ("other", example.asked))
+                        for who, action in (("noted", example.recorded), ("other", example.other))
                     )
                 )
     return 1 if different else 0
@@ -291,16 +297,16 @@
 @click.argument("right", type=FILE)
 def diff(left: Path, right: Path) -> None:
     """Whether two traces say the same: exit 0, or 1 with the first record that differs."""
-    from ..trace.difference import difference
+    from ..trace.diff import diff_traces
     from ..trace.replay import format_record
 
-    found = difference(_one((left,)), _one((right,)))
+    found = diff_traces(_one((left,)), _one((right,)))
     for line in found.headers:
         click.echo(f"header: {line}")
-    if found.place < 0:
+    if found.record_index < 0:
         click.echo(f"{found.records} records, all alike")
         return
-    click.echo(f"record {found.place} of {found.records} differs")
+    click.echo(f"record {found.record_index} of {found.records} differs")
     for record in found.before:
         click.echo(f"  {format_record(record)}")
     click.echo(f"  {left}: {format_record(found.left).strip() if found.left else 'is over'}")
@@ -323,9 +329,9 @@
     for one in _opened(files):
         summary = TraceSummary(one.sources, round(span * UNIT))
         for entry in one.entries():
-            summary.take(entry)
-        summary.end()
-        stretches = find_bad_stretches(summary.all_slices(), summary.span, summary.usual(), summary.objective())
+            summary.add(entry)
+        summary.finish()
+        stretches = find_bad_stretches(summary.all_slices(), summary.interval, summary.median_setup(), summary.shortest_objective())
         tables(one, summary, stretches)
         _breaks([one])
         if chart is not None:
@@ -343,14 +349,14 @@
 @click.option("--slower", type=float, default=None, help="Only dialogs whose final answer took more than so many ms.")
 def spans(files: tuple[Path, ...], out: Path, slower: float | None) -> None:
     """Every dialog as a tree of spans (dialog, legs, waits), in OpenTelemetry's form, each with its place in the trace."""
-    from ..spans.export import FileSpans
-    from ..spans.tree import trees
+    from ..spans.export import SpanFileWriter
+    from ..spans.tree import span_trees
 
-    with FileSpans(out) as exporter:
+    with SpanFileWriter(out) as exporter:
         for one in _opened(files):
-            for tree in trees(one):
-                if slower is None or tree.length >= slower * 10:
-                    exporter.put(tree)
+            for tree in span_trees(one):
+                if slower is None or tree.duration >= slower * 10:
+                    exporter.write(tree)
             _breaks([one])
     click.echo(f"{out}: {exporter.dialogs} dialogs, {exporter.spans} spans")
 
@@ -360,15 +366,15 @@
 @click.option("--out", type=FILE, required=True, help="Folder for a trace of each proxy.")
 def from_tap(tap: Path, out: Path) -> None:
     """Turn the recorded wire of a bench run into traces: exit 0, or 1 where this module's replies differ from those recorded."""
-    from ..trace.tap import converted
+    from ..trace.wire_capture import convert_wire_capture
 
-    done = converted(tap, out)
+    done = convert_wire_capture(tap, out)
     for path, records in done.written:
         click.echo(f"{path}: {records} records")
-    click.echo(f"{done.batches} batches, {done.replies} replies compared, {done.differ} differ")
-    if done.first:
-        click.echo(done.first)
-    sys.exit(1 if done.differ else 0)
+    click.echo(f"{done.batches} batches, {done.replies} replies compared, {done.different} differ")
+    if done.first_difference:
+        click.echo(done.first_difference)
+    sys.exit(1 if done.different else 0)
 
 
 def _ask(path: str, what: str) -> Any:
--- a/gingergap/cli/trace_tables.py
+++ b/gingergap/cli/trace_tables.py
@@ -19,7 +19,7 @@
     began = trace.header.started
     names = [f"{source.instance}-{source.epoch}" for source in summary.sources]
     print(
-        f"{trace.name}: {', '.join(names)}: {(summary.last - summary.first) / UNIT:.1f} s"
+        f"{trace.name}: {', '.join(names)}: {(summary.last_time - summary.first_time) / UNIT:.1f} s"
         + (f", {summary.gaps} gaps" if summary.gaps else "")
     )
     kinds = summary.sources[0].figures["types"]
@@ -38,16 +38,16 @@
                 "cut": many["cut"],
                 "service": round(many["in time"] / many["came"], 4) if many["came"] else "",
             }
-            for kind, many in sorted(summary.by_kind.items())
+            for kind, many in sorted(summary.by_traffic_type.items())
         ],
     )
     rows("what did not stand, by cause", [{"cause": cause, "dialogs": many} for cause, many in summary.causes.most_common()])
     times = [
         (name, histogram)
         for name, histogram in (
-            ("set-up, direct", summary.set_up[True]),
-            ("set-up, over a tandem", summary.set_up[False]),
-            ("final answer of the rest", summary.answered),
+            ("set-up, direct", summary.setup_histograms[True]),
+            ("set-up, over a tandem", summary.setup_histograms[False]),
+            ("final answer of the rest", summary.failure_histogram),
         )
         if histogram.get_total_count()
     ]
@@ -67,7 +67,7 @@
     for stretch in stretches:
         print(
             f"bad stretch at {names[stretch.source]}, {(stretch.begin - began) / UNIT:.1f} s to "
-            f"{(stretch.end - began) / UNIT:.1f} s: {stretch.came} dialogs, {stretch.lost} lost, {stretch.troubles} troubles; "
+            f"{(stretch.end - began) / UNIT:.1f} s: {stretch.arrived} dialogs, {stretch.lost} lost, {stretch.failures} troubles; "
             f"likeliest cause: {stretch.cause}"
         )
         for line in stretch.evidence:
@@ -78,26 +78,26 @@
 
 def _far_ends(summary: TraceSummary, began: int) -> None:
     """Far ends with troubles, a column for each of a dozen spans of the whole time."""
-    limit = slow_limit(summary.usual(), summary.objective())
-    width = max(summary.span, -(-(summary.last - summary.first + 1) // SHOWN))
+    limit = slow_limit(summary.median_setup(), summary.shortest_objective())
+    width = max(summary.interval, -(-(summary.last_time - summary.first_time + 1) // SHOWN))
     many: dict[int, dict[int, int]] = {}
     legs: dict[int, int] = {}
     for one in summary.all_slices():
-        column = max(0, one.begin - summary.first) // width
-        for number, far in one.far.items():
+        column = max(0, one.begin - summary.first_time) // width
+        for number, far in one.destinations.items():
             legs[number] = legs.get(number, 0) + far.legs
-            troubles = count_destination_failures(far, limit) + far.overtaken + far.lost_full
+            troubles = count_destination_failures(far, limit) + far.overtaken + far.lost_no_circuit
             if troubles:
                 row = many.setdefault(number, {})
                 row[column] = row.get(column, 0) + troubles
-    columns = range(-(-(summary.last - summary.first + 1) // width))
+    columns = range(-(-(summary.last_time - summary.first_time + 1) // width))
     rows(
         "far ends' troubles over time (seconds)",
         [
             {
                 "far end": number,
                 "legs": legs[number],
-                **{f"{(summary.first - began + column * width) / UNIT:.0f}": row.get(column, "") for column in columns},
+                **{f"{(summary.first_time - began + column * width) / UNIT:.0f}": row.get(column, "") for column in columns},
             }
             for number, row in sorted(many.items())
         ],
@@ -112,7 +112,7 @@
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    began, limit = trace.header.started, slow_limit(summary.usual(), summary.objective())
+    began, limit = trace.header.started, slow_limit(summary.median_setup(), summary.shortest_objective())
     figure, axes = pyplot.subplots(len(summary.sources), 1, figsize=(11, 3 * len(summary.sources)), squeeze=False, sharex=True)
 
     def seconds(when: float) -> float:
@@ -121,7 +121,7 @@
     for source, axis in enumerate(axes[:, 0]):
         held = [one for one in summary.all_slices() if one.source == source]
         at = [seconds(one.begin) for one in held]
-        width = summary.span / UNIT
+        width = summary.interval / UNIT
 
         def bars(
             value: Callable[[Any], float],
@@ -134,14 +134,14 @@
         ) -> None:
             axis.bar(at, [value(one) for one in held], width, align="edge", color=colour, label=label)
 
-        bars(lambda one: one.came + one.turned_away, "#c8d3e0", "dialogs")
+        bars(lambda one: one.arrived + one.turned_away, "#c8d3e0", "dialogs")
         bars(lambda one: one.lost, "#d1495b", "lost")
         for stretch in stretches:
             if stretch.source == source:
                 axis.axvspan(seconds(stretch.begin), seconds(stretch.end), color="#edae49", alpha=0.25)
                 axis.annotate(stretch.cause, (seconds(stretch.begin), axis.get_ylim()[1]), va="top", fontsize=8)
         other = axis.twinx()
-        medians = [(one, sorted(took for far in one.far.values() for took in far.set_ups)) for one in held]
+        medians = [(one, sorted(took for far in one.destinations.values() for took in far.setup_durations)) for one in held]
         other.plot(
             [seconds(one.begin) + width / 2 for one, took in medians if took],
             [took[len(took) // 2] / 10 for _, took in medians if took],
--- a/gingergap/edge/serve.py
+++ b/gingergap/edge/serve.py
@@ -19,7 +19,7 @@
 from ..trace.format import FORMAT, Header, Source
 from ..trace.instrumentation import TraceBuffer, module_digest
 from ..trace.live import LiveTimelines
-from ..trace.recorder import Recorder, keep_budget
+from ..trace.recorder import Recorder, enforce_budget
 from ..transport.sockets import Sockets
 from .coordination import Coordination, LocalWork
 from .door import Door
@@ -255,42 +255,42 @@
             self.proxy.figures,
         )
         folder, part, budget = Path(form.folder), round(form.part_mb * 2**20), round(form.budget_mb * 2**20)
-        self.trace_buffer.switch(form.recording)
+        self.trace_buffer.set_enabled(form.recording)
 
         source = Source(header.module, header.epoch, header.instance, header.wall, header.started, header.figures)
         told: list[Any] = []
         if form.metrics:
-            from ..metrics.calls import CallFigures  # its library and that of spans take longer to load than all the rest
+            from ..metrics.calls import CallMetrics  # its library and that of spans take longer to load than all the rest
 
-            self.figures = CallFigures([entry.name for entry in self.form.traffic_type])
-            told.append(self.figures.over)
+            self.figures = CallMetrics([entry.name for entry in self.form.traffic_type])
+            told.append(self.figures.observe)
         if form.spans_slower_ms is not None:
             from ..spans.live import LiveSpans
 
             self.spans = LiveSpans(folder, source, units(form.spans_slower_ms))
-            told.append(self.spans.over)
-        stories = LiveTimelines(source, self.log, told)
+            told.append(self.spans.write)
+        timelines = LiveTimelines(source, self.log, told)
 
         def seen(records: list[list[Any]], name: str) -> None:
             if self.spans is not None:
-                self.spans.file(name, stories.stories.place)
-            stories.take(records)
+                self.spans.set_file(name, timelines.builder.record_index)
+            timelines.add(records)
 
         self.recorder = Recorder(
             folder,
             self.trace_buffer,
             header,
             self.log,
-            part=part,
-            lasts=round(form.part_s * UNIT),
+            part_bytes=part,
+            part_duration=round(form.part_s * UNIT),
             clock=clock,
-            apart=self._apart,
-            seen=seen if told else None,
+            run_in_thread=self._apart,
+            on_written=seen if told else None,
         )
         self.recorder.open()
         self.work.add_sweep(
             "trace budget",
-            lambda: self._apart(keep_budget, folder, self.form.name, budget, part, self.log) >= 0,
+            lambda: self._apart(enforce_budget, folder, self.form.name, budget, part, self.log) >= 0,
             period=10 * UNIT,
             limit=60 * UNIT,
         )
@@ -343,7 +343,7 @@
                 joined.leave()
                 return "left"
             case "trace":
-                return self._traced().figures()
+                return self._traced().statistics()
             case "store":
                 if self.store is None:
                     raise KeyError("this proxy has no (store ...) in its settings, or could not open it")
@@ -351,12 +351,12 @@
             case "metrics":
                 if self.figures is None:
                     raise KeyError("this proxy has no (metrics true) in its (trace ...)")
-                return self.figures.text()
+                return self.figures.render()
             case "trace on" | "trace off":
                 self._traced()
-                self.trace_buffer.switch(what == "trace on")
-                self.log.info("trace-switched", on=self.trace_buffer.on)
-                return self.recorder.figures()
+                self.trace_buffer.set_enabled(what == "trace on")
+                self.log.info("trace-switched", on=self.trace_buffer.enabled)
+                return self.recorder.statistics()
             case _ if what.startswith("remark "):
                 self._traced()
                 self.proxy.remark(clock(), what.removeprefix("remark ")[:MOST_REMARK])
--- a/gingergap/metrics/__init__.py
+++ b/gingergap/metrics/__init__.py
@@ -1,1 +1,1 @@
-"""Counts and histograms of a running proxy in Prometheus's form, from what its trace tells."""
+"""Counters and histograms of a running proxy in Prometheus's format, derived from its trace."""
--- a/gingergap/spans/__init__.py
+++ b/gingergap/spans/__init__.py
@@ -1,1 +1,1 @@
-"""Dialogs as trees of OpenTelemetry spans, each with its place in the trace: a slow call leads to its decisions."""
+"""Dialogs as trees of OpenTelemetry spans, each with its position in the trace, which leads from a slow call to its records."""
--- a/gingergap/spans/export.py
+++ b/gingergap/spans/export.py
@@ -1,4 +1,4 @@
-"""Spans into a file by OpenTelemetry's SDK: a JSON object a line, no collector needed."""
+"""Exports spans to a file with OpenTelemetry's SDK: one JSON object per line, no collector needed."""
 
 from pathlib import Path
 from typing import Any
@@ -9,13 +9,13 @@
 from opentelemetry.sdk.trace.id_generator import IdGenerator
 from opentelemetry.trace import NonRecordingSpan, SpanContext, Status, StatusCode, TraceFlags, set_span_in_context
 
-from .tree import Tree
+from .tree import SpanTree
 
-NANO = 1_000_000_000
+NANOSECONDS = 1_000_000_000  # in a second
 
 
-class GivenIds(IdGenerator):
-    """The ids that a tree has already: the same dialog has the same ids whenever its trace is read."""
+class PresetIdGenerator(IdGenerator):
+    """Supplies the ids that a tree already has, so that a dialog has the same ids whenever its trace is read."""
 
     def __init__(self) -> None:
         self.trace_id = self.span_id = 0
@@ -27,20 +27,20 @@
         return self.span_id
 
 
-class FileSpans:
-    """Writes trees to a new file. Raises OSError."""
+class SpanFileWriter:
+    """Writes span trees to a new file. Raises OSError."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
         self.file = path.open("w", encoding="utf-8")
-        self.ids = GivenIds()
+        self.ids = PresetIdGenerator()
         self.exporter = SimpleSpanProcessor(
             ConsoleSpanExporter(out=self.file, formatter=lambda span: span.to_json(indent=None) + "\n")
         )
-        self.providers: dict[str, TracerProvider] = {}
+        self.providers: dict[str, TracerProvider] = {}  # by instance
         self.dialogs = self.spans = 0
 
-    def __enter__(self) -> "FileSpans":
+    def __enter__(self) -> "SpanFileWriter":
         return self
 
     def __exit__(self, *_: Any) -> None:
@@ -49,7 +49,7 @@
     def close(self) -> None:
         self.file.close()
 
-    def put(self, tree: Tree) -> None:
+    def write(self, tree: SpanTree) -> None:
         provider = self.providers.get(tree.instance)
         if provider is None:
             provider = self.providers[tree.instance] = TracerProvider(
@@ -64,23 +64,24 @@
             self.ids.span_id = int.from_bytes(span.id)
             context = None
             if span.parent:
-                above = SpanContext(self.ids.trace_id, int.from_bytes(span.parent), True, TraceFlags(TraceFlags.SAMPLED))
-                context = set_span_in_context(NonRecordingSpan(above))
-            made = tracer.start_span(
+                parent = SpanContext(self.ids.trace_id, int.from_bytes(span.parent), True, TraceFlags(TraceFlags.SAMPLED))
+                context = set_span_in_context(NonRecordingSpan(parent))
+            sdk_span = tracer.start_span(
                 span.name,
                 context,
-                start_time=self._nano(tree, span.begin),
+                start_time=self._nanoseconds(tree, span.begin),
                 attributes={
-                    **{f"gingergap.{name.replace(' ', '_')}": value for name, value in span.fields.items()},
-                    "gingergap.position": f"{span.file}:{span.place}",
+                    **{f"gingergap.{name.replace(' ', '_')}": value for name, value in span.attributes.items()},
+                    "gingergap.position": f"{span.file}:{span.record_index}",
                 },
             )
-            if span.name in ("dialog", "transit") and not tree.stood:
-                made.set_status(Status(StatusCode.ERROR, str(span.fields.get("cause", ""))))
-            made.end(self._nano(tree, span.end))
+            if span.name in ("dialog", "transit") and not tree.established:
+                sdk_span.set_status(Status(StatusCode.ERROR, str(span.attributes.get("cause", ""))))
+            sdk_span.end(self._nanoseconds(tree, span.end))
             self.spans += 1
         self.dialogs += 1
 
     @staticmethod
-    def _nano(tree: Tree, when: int) -> int:
-        return round(tree.wall * NANO) + when * 100_000
+    def _nanoseconds(tree: SpanTree, when: int) -> int:
+        """Wall-clock time of a time of the trace's clock."""
+        return round(tree.wall * NANOSECONDS) + when * 100_000
--- a/gingergap/spans/live.py
+++ b/gingergap/spans/live.py
@@ -1,43 +1,45 @@
-"""Spans of a running proxy, beside the parts of its trace: of dialogs that did not stand or took long.
+"""Writes the spans of a running proxy beside the parts of its trace, for dialogs that failed or took long.
 
-Fed by the recorder with what it has just written, away from the event loop. A file for each part of the trace, under
-the same name with `.spans`: they are removed with the parts.
+It is fed by the recorder with what that has just written, off the event loop. Each part of the trace has a file of the
+same name with the suffix `.spans`, which is removed together with the part.
 """
 
 from pathlib import Path
 
 from ..trace.format import Source
 from ..trace.timeline import DialogTimeline
-from .export import FileSpans
-from .tree import Files, Trees, worth_keeping
+from .export import SpanFileWriter
+from .tree import RecordLocator, SpanTreeBuilder, is_worth_keeping
 
 
 class LiveSpans:
-    """`slower` in tenths of a millisecond: dialogs that stood sooner are not written."""
+    """Writes spans to `folder`. Established dialogs that took no longer than `slower` (tenths of a millisecond) are
+    omitted.
+    """
 
     def __init__(self, folder: Path, source: Source, slower: int) -> None:
         self.folder, self.slower = folder, slower
-        self.files = Files()
-        self.trees = Trees([source], source.wall, source.started, self.files)
+        self.locator = RecordLocator()
+        self.builder = SpanTreeBuilder([source], source.wall, source.started, self.locator)
         self.name = ""
-        self.out: FileSpans | None = None
+        self.writer: SpanFileWriter | None = None
 
-    def file(self, name: str, place: int) -> None:
-        """The records that come now stand in this file, the first of them at this place among all."""
+    def set_file(self, name: str, record_index: int) -> None:
+        """Names the trace file of the records to come, and the index of the first of them among all records."""
         if name != self.name:
             self.name = name
-            self.files.begin(place, name)
-            del self.files.begins[:-64]
+            self.locator.add_file(record_index, name)
+            del self.locator.files[:-64]
             self.close()
 
-    def over(self, story: DialogTimeline) -> None:
-        tree = self.trees.tree(story)
-        if worth_keeping(tree, self.slower):
-            if self.out is None:
-                self.out = FileSpans(self.folder / f"{self.name.removesuffix('.trace')}.spans")
-            self.out.put(tree)
+    def write(self, timeline: DialogTimeline) -> None:
+        tree = self.builder.build(timeline)
+        if is_worth_keeping(tree, self.slower):
+            if self.writer is None:
+                self.writer = SpanFileWriter(self.folder / f"{self.name.removesuffix('.trace')}.spans")
+            self.writer.write(tree)
 
     def close(self) -> None:
-        if self.out is not None:
-            self.out.close()
-            self.out = None
+        if self.writer is not None:
+            self.writer.close()
+            self.writer = None
--- a/gingergap/trace/compare.py
+++ b/gingergap/trace/compare.py
@@ -1,10 +1,10 @@
-"""What another version of the decisions would have done: asked at every event, from the state that was really there.
+"""Counts where another version of the decision module would have decided differently, event by event.
 
-Both modules run side by side on the noted events. Where the other one asks for something else, the difference is counted
-by kind, and it is given the state of the module that really decided: the world's answers that follow are answers to that
-one's decisions, and a module led on by answers to questions it never asked would soon differ for no other reason. So
-each count is of single decisions, not of days lived under the other version; what a day under it would come to only
-playing one can tell.
+Both modules are fed the recorded events side by side. Where the other one takes different actions, the difference is
+counted by kind, and the other module is given the state of the one that made the recorded decisions: the events that
+follow are consequences of those decisions, and a module that is fed the consequences of decisions it did not make would
+soon differ for that reason alone. So each count is of single decisions. What a whole day under the other version would
+come to can only be found by playing one.
 """
 
 import importlib.util
@@ -18,48 +18,54 @@
 
 from .. import call_controller
 from .earlier_versions import adapted
-from .format import CODES, DIALOG_AT, FIRST_NOTE, NAMES, SNAPSHOT, BadTraceError, Source, is_action, is_event
+from .format import CODES, DIALOG_FIELD, FIRST_NOTE, NAMES, SNAPSHOT, BadTraceError, Source, is_action, is_event
 from .replay import ActionCollector, create_controller, feed
 from .snapshot import BadSnapshotError, freeze, thaw
 from .stream import Entry
 from .timeline import ESTABLISHED, DialogTimeline, TimelineBuilder
 
-SEND, DECLINE, ABORT = CODES["send_leg"], CODES["decline"], CODES["abort"]
-SHOWN = 3  # examples kept of each kind
+SEND_LEG, DECLINE, ABORT = CODES["send_leg"], CODES["decline"], CODES["abort"]
+MAX_EXAMPLES = 3  # kept of each kind
 
 
 class Example(NamedTuple):
+    """One difference: the recorded action and the other module's (None: no action). `time` in tenths of a millisecond."""
+
     source: int
-    place: int
-    now: int
+    record_index: int
+    time: int
     dialog: int
-    noted: list[Any] | None
-    asked: list[Any] | None
+    recorded: list[Any] | None
+    other: list[Any] | None
+
 
+class DifferenceKind:
+    """One kind of difference, named by the recorded action and the other module's.
 
-class Kind:
-    """One kind of difference: what was done, what the other would have done. `lost`: importance that really stood in time
-    and that the other would have turned away; `at_most_gained`: importance turned away that it would have tried."""
+    `lost_importance` is that of dialogs that were established in time and that the other module would have turned away;
+    `max_gained_importance` that of dialogs that were turned away and that it would have tried.
+    """
 
     def __init__(self) -> None:
-        self.many = 0
-        self.lost = self.at_most_gained = 0.0
+        self.count = 0
+        self.lost_importance = self.max_gained_importance = 0.0
         self.outcomes: Counter[str] = Counter()
         self.examples: list[Example] = []
 
 
-class Compared:
-    """The result: events fed, decisions compared, differences by kind, importance that stood in time in all."""
+class ComparisonResult:
+    """Events fed, decisions compared, importance established in time in total, and differences by kind."""
 
     def __init__(self) -> None:
-        self.events = self.decisions = self.passed_over = 0
-        self.stood = 0.0
-        self.kinds: dict[str, Kind] = {}
+        self.events = self.decisions = self.skipped_events = 0
+        self.established_importance = 0.0
+        self.kinds: dict[str, DifferenceKind] = {}
 
 
 def module_at(path: Path) -> ModuleType:
     """Another version of call_controller.py, or of brain.py as it was called before, as a module of this package with the
-    present interface. Raises BadTraceError."""
+    present interface. Raises BadTraceError.
+    """
     name = f"{call_controller.__package__}._other_version"
     spec = importlib.util.spec_from_file_location(name, path)
     if spec is None or spec.loader is None:
@@ -76,151 +82,177 @@
     return module
 
 
-class Side:
-    """One source's two modules."""
+class ControllerPair:
+    """One source's two controllers: this program's own and the other module's."""
 
-    def __init__(self, source: Source, whole: bool, other: ModuleType) -> None:
-        self.source, self.other = source, other
+    def __init__(self, source: Source, from_start: bool, other_module: ModuleType) -> None:
+        self.source, self.other_module = source, other_module
         self.own_host, self.other_host = ActionCollector(), ActionCollector()
         self.own: Any = None
-        self.others: Any = None
-        if whole:
-            self.own, self.others = create_controller(source, self.own_host), create_controller(source, self.other_host, other)
-        self.noted: list[list[Any]] = []
-        self.at = 0, 0  # place and time of the event under way
-
-    def begin(self, state: bytes) -> None:
-        self.own = thaw(state, self.own_host)
-        self.take_over()
-
-    def take_over(self) -> None:
-        """The other module goes on from the state of the one that decided. Raises BadTraceError where it can't."""
+        self.other: Any = None
+        if from_start:
+            self.own, self.other = (
+                create_controller(source, self.own_host),
+                create_controller(source, self.other_host, other_module),
+            )
+        self.recorded: list[list[Any]] = []
+        self.current_event = 0, 0  # record index and time
+
+    def resume(self, snapshot: bytes) -> None:
+        """Gives both controllers the state of a snapshot."""
+        self.own = thaw(snapshot, self.own_host)
+        self.synchronise()
+
+    def synchronise(self) -> None:
+        """Gives the other controller the state of the own one. Raises BadTraceError if it cannot take it."""
         try:
-            self.others = thaw(freeze(self.own), self.other_host, self.other)
+            self.other = thaw(freeze(self.own), self.other_host, self.other_module)
         except BadSnapshotError as error:
             raise BadTraceError(f"the other module can't take over this one's state: {error}") from None
-        self.own_host.done.clear()
-        self.other_host.done.clear()
+        self.own_host.actions.clear()
+        self.other_host.actions.clear()
+
 
+def compare(sources: list[Source], entries: Iterable[Entry], from_start: bool, other_module: ModuleType) -> ComparisonResult:
+    """Compares this program's decisions with those of another module.
 
-def compare(sources: list[Source], entries: Iterable[Entry], whole: bool, other: ModuleType) -> Compared:
-    """Raises BadTraceError where this program's module does not decide as noted: then nothing can be said of another."""
-    result, stories = Compared(), TimelineBuilder(sources)
-    sides = [Side(source, whole, other) for source in sources]
-    open_differences: dict[tuple[int, int], list[Kind]] = {}
-    closing: list[list[DialogTimeline]] = [[] for _ in sources]  # ended by the event under way, whose differences are not known yet
+    Raises BadTraceError if this program's module does not decide as recorded: then nothing can be said about another.
+    """
+    result, timelines = ComparisonResult(), TimelineBuilder(sources)
+    pairs = [ControllerPair(source, from_start, other_module) for source in sources]
+    open_differences: dict[tuple[int, int], list[DifferenceKind]] = {}
+    # Timelines that ended at the current event, whose differences are not known yet.
+    closing: list[list[DialogTimeline]] = [[] for _ in sources]
 
     def settle(source: int) -> None:
-        _settle(sides[source], source, result, open_differences)
-        for story in closing[source]:
-            _ended(story, sources, result, open_differences)
+        _settle(pairs[source], source, result, open_differences)
+        for timeline in closing[source]:
+            _count_outcome(timeline, sources, result, open_differences)
         closing[source].clear()
 
     for entry in entries:
-        side, record, code = sides[entry.source], entry.record, entry.record[0]
+        pair, record, code = pairs[entry.source], entry.record, entry.record[0]
         if code == "gap" or code == SNAPSHOT or is_event(code):
             settle(entry.source)
-        stories.take(entry)
+        timelines.add(entry)
         if code == "gap":
-            side.own = None
+            pair.own = None
         elif code == SNAPSHOT:
-            if side.own is None:
-                side.begin(record[2])
+            if pair.own is None:
+                pair.resume(record[2])
         elif code >= FIRST_NOTE:
             pass
-        elif side.own is None:
-            result.passed_over += is_event(code)
+        elif pair.own is None:
+            result.skipped_events += is_event(code)
         elif is_action(code):
-            side.noted.append(record)
+            pair.recorded.append(record)
         else:
             result.events += 1
-            side.at = stories.place - 1, entry.now
-            feed(side.own, record)
+            pair.current_event = timelines.record_index - 1, entry.time
+            feed(pair.own, record)
             try:
-                feed(side.others, record)
+                feed(pair.other, record)
             except Exception as error:
-                raise BadTraceError(f"the other module fails at record {side.at[0]}: {type(error).__name__}: {error}") from None
-        for story in stories.over():
-            closing[story.source].append(story)
-    for place in range(len(sides)):
-        settle(place)
-    for left in stories.open():
-        _ended(left, sources, result, open_differences)
+                raise BadTraceError(
+                    f"the other module fails at record {pair.current_event[0]}: {type(error).__name__}: {error}"
+                ) from None
+        for timeline in timelines.take_finished():
+            closing[timeline.source].append(timeline)
+    for source in range(len(pairs)):
+        settle(source)
+    for timeline in timelines.unfinished():
+        _count_outcome(timeline, sources, result, open_differences)
     return result
 
 
-def _settle(side: Side, source: int, result: Compared, open_differences: dict[tuple[int, int], list[Kind]]) -> None:
-    """All that the last event brought forth is known."""
-    if side.own is None or not (side.noted or side.own_host.done or side.other_host.done):
+def _settle(
+    pair: ControllerPair,
+    source: int,
+    result: ComparisonResult,
+    open_differences: dict[tuple[int, int], list[DifferenceKind]],
+) -> None:
+    """Compares the actions of the last event, now that all of them are known."""
+    if pair.own is None or not (pair.recorded or pair.own_host.actions or pair.other_host.actions):
         return
-    noted, side.noted = side.noted, []
-    own, others = list(side.own_host.done), list(side.other_host.done)
-    side.own_host.done.clear()
-    side.other_host.done.clear()
-    place, now = side.at
-    if own != noted:
+    recorded, pair.recorded = pair.recorded, []
+    own_actions, other_actions = list(pair.own_host.actions), list(pair.other_host.actions)
+    pair.own_host.actions.clear()
+    pair.other_host.actions.clear()
+    record_index, now = pair.current_event
+    if own_actions != recorded:
         raise BadTraceError(
-            f"record {place}: this program's module does not decide as was noted; compare with the version that recorded the trace"
+            f"record {record_index}: this program's module does not decide as was recorded; "
+            "compare with the version that recorded the trace"
         )
-    result.decisions += len(noted)
-    if others == noted:
+    result.decisions += len(recorded)
+    if other_actions == recorded:
         return
-    for name, dialog, was, would in kinds_of(noted, others):
-        kind = result.kinds.setdefault(name, Kind())
-        kind.many += 1
-        if len(kind.examples) < SHOWN:
-            kind.examples.append(Example(source, place, now, dialog, was, would))
+    for name, dialog, recorded_action, other_action in classify_differences(recorded, other_actions):
+        kind = result.kinds.setdefault(name, DifferenceKind())
+        kind.count += 1
+        if len(kind.examples) < MAX_EXAMPLES:
+            kind.examples.append(Example(source, record_index, now, dialog, recorded_action, other_action))
         if dialog >= 0:
             open_differences.setdefault((source, dialog), []).append(kind)
-    side.take_over()
+    pair.synchronise()
 
 
-def kinds_of(noted: list[list[Any]], others: list[list[Any]]) -> list[tuple[str, int, list[Any] | None, list[Any] | None]]:
+def classify_differences(
+    recorded: list[list[Any]], other: list[list[Any]]
+) -> list[tuple[str, int, list[Any] | None, list[Any] | None]]:
     """Differences between two lists of actions at one event: name, dialog (-1: none), the two actions."""
     found = []
     by_dialog: dict[tuple[int, str], list[list[Any] | None]] = {}
-    for side, actions in enumerate((noted, others)):
+    for side, actions in enumerate((recorded, other)):
         for action in actions:
-            at = DIALOG_AT.get(action[0])
-            key = (action[at], "") if at is not None else (-1, NAMES[action[0]])
+            field = DIALOG_FIELD.get(action[0])
+            key = (action[field], "") if field is not None else (-1, NAMES[action[0]])
             by_dialog.setdefault(key, [None, None])[side] = action
-    for (dialog, _), (was, would) in by_dialog.items():
-        if was == would:
+    for (dialog, _), (recorded_action, other_action) in by_dialog.items():
+        if recorded_action == other_action:
             continue
-        if was is not None and would is not None and was[0] == would[0]:
-            what = "leg to another exchange" if was[0] == SEND and was[2] != would[2] else f"other figures in {NAMES[was[0]]}"
+        if recorded_action is not None and other_action is not None and recorded_action[0] == other_action[0]:
+            name = (
+                "leg to another exchange"
+                if recorded_action[0] == SEND_LEG and recorded_action[2] != other_action[2]
+                else f"other figures in {NAMES[recorded_action[0]]}"
+            )
         else:
-            what = f"{_word(was)} -> {_word(would)}"
-        found.append((what, dialog, was, would))
+            name = f"{_action_name(recorded_action)} -> {_action_name(other_action)}"
+        found.append((name, dialog, recorded_action, other_action))
     if not found:
-        found.append(("other order of the same", -1, noted[0], others[0]))
+        found.append(("other order of the same", -1, recorded[0], other[0]))
     return found
 
 
-def _word(action: list[Any] | None) -> str:
+def _action_name(action: list[Any] | None) -> str:
     return "nothing yet" if action is None else NAMES[action[0]]
 
 
-def _ended(
-    story: DialogTimeline, sources: list[Source], result: Compared, open_differences: dict[tuple[int, int], list[Kind]]
+def _count_outcome(
+    timeline: DialogTimeline,
+    sources: list[Source],
+    result: ComparisonResult,
+    open_differences: dict[tuple[int, int], list[DifferenceKind]],
 ) -> None:
-    types = sources[story.source].figures["types"]
-    objective, importance = types[story.kind][0], types[story.kind][3]
-    in_time = story.final == ESTABLISHED and story.took <= objective
-    outcome = "stood in time" if in_time else "stood late" if story.final == ESTABLISHED else story.final
-    if in_time and not story.transit:
-        result.stood += importance
-    for kind in open_differences.pop((story.source, story.dialog), []):
+    """Counts the outcome of a finished dialog for each difference that concerned it."""
+    types = sources[timeline.source].figures["types"]
+    objective, importance = types[timeline.traffic_type][0], types[timeline.traffic_type][3]
+    in_time = timeline.outcome == ESTABLISHED and timeline.final_answer_delay <= objective
+    outcome = "stood in time" if in_time else "stood late" if timeline.outcome == ESTABLISHED else timeline.outcome
+    if in_time and not timeline.transit:
+        result.established_importance += importance
+    for kind in open_differences.pop((timeline.source, timeline.dialog), []):
         kind.outcomes[outcome] += 1
-        if story.transit:
+        if timeline.transit:
             continue
         example = kind.examples[0]
-        if in_time and example.asked is not None and example.asked[0] in (DECLINE, ABORT):
-            kind.lost += importance
+        if in_time and example.other is not None and example.other[0] in (DECLINE, ABORT):
+            kind.lost_importance += importance
         elif (
             not in_time
-            and example.noted is not None
-            and example.noted[0] in (DECLINE, ABORT)
-            and (example.asked is None or example.asked[0] == SEND)
+            and example.recorded is not None
+            and example.recorded[0] in (DECLINE, ABORT)
+            and (example.other is None or example.other[0] == SEND_LEG)
         ):
-            kind.at_most_gained += importance
+            kind.max_gained_importance += importance
--- a/gingergap/trace/instrumentation.py
+++ b/gingergap/trace/instrumentation.py
@@ -1,7 +1,8 @@
-"""Between the module and its host: notes each event before it enters and each action as it is asked for.
+"""Records the decision module's inputs and outputs without changing the module.
 
-The module's text is not touched: `RecordedController` is the same controller with its event methods noted, and
-`RecordedHost` stands before the real host. Notes go into a bounded list; writing is somebody else's work (recorder.py).
+`RecordingController` is the controller with each event appended to a `TraceBuffer` before it is handled, and
+`RecordingHost` appends each action before it passes it on to the real host. The buffer is bounded and lives in memory;
+recorder.py writes it to files.
 """
 
 import hashlib
@@ -32,90 +33,100 @@
 
 
 def module_digest() -> str:
-    """Which text of the module decided."""
+    """A digest of the decision module's source, which identifies the version that made the decisions."""
     return hashlib.blake2s(inspect.getsource(call_controller).encode(), digest_size=12).hexdigest()
 
 
 def message_id(text: str) -> bytes:
-    """The id under which the traces of two proxies name one thing that passed between them, of a text that both saw."""
+    """The 8-byte id by which the traces of sender and receiver name the same message.
+
+    `text` is something that both see, such as a Via branch or a Call-ID.
+    """
     return hashlib.blake2s(text.encode("utf-8", "replace"), digest_size=8).digest()
 
 
-def answer_id(crossed: bytes) -> bytes:
-    """The id of the answer to it."""
-    return crossed[:-1] + bytes([crossed[-1] ^ 1])
+def answer_id(request_id: bytes) -> bytes:
+    """The id of the answer to a message."""
+    return request_id[:-1] + bytes([request_id[-1] ^ 1])
 
 
 class TraceBuffer:
-    """Holds at most `most` records; beyond them events are counted as lost, whole ones, with their times, until there is
-    room again: a record of half an event would replay as a difference. After every hole the module's state is noted
-    before the next event, so that a replay can go on from there."""
+    """A bounded list of records that have not been written yet.
+
+    It holds at most `max_records`. Beyond them, events are dropped with their actions and counted, with their times,
+    until there is room again: a record of half an event would replay as a difference. After each gap a snapshot of the
+    module's state precedes the next event, so that a replay can resume there.
+    """
 
-    def __init__(self, most: int = 200_000) -> None:
-        self.most = most
-        self.on = True
+    def __init__(self, max_records: int = 200_000) -> None:
+        self.max_records = max_records
+        self.enabled = True
         self.records: list[tuple[Any, ...]] = []
-        self.gaps: list[tuple[int, int, int, int]] = []  # place among the records, first, last, how many
+        self.gaps: list[tuple[int, int, int, int]] = []  # index among the records, first and last time, events lost
         self.dropping = False
-        self.wants_state = False
-        self.plain = True  # on, nothing dropped, no state asked for: a record only has to be appended
-        self.state: Callable[[], bytes] = bytes  # set by `recording_controller`
+        self.snapshot_requested = False
+        self.fast_path = True  # enabled, not dropping, no snapshot requested: a record only has to be appended
+        self.take_snapshot: Callable[[], bytes] = bytes  # set by `recording_controller`
 
-    # --- what can happen ---
+    # --- called by the instrumented controller and host ---
 
     def event(self, record: tuple[Any, ...]) -> None:
-        """A code, the time, the fields. Tuples: the collector of garbage lets go of them at its first look, of lists never."""
-        if self.plain and len(self.records) < self.most:
+        """Appends an event: its code, its time, its fields.
+
+        Records are tuples because the garbage collector untracks tuples of plain values at its first pass, but never lists.
+        """
+        if self.fast_path and len(self.records) < self.max_records:
             self.records.append(record)
             return
         now = record[1]
-        if not self.on or len(self.records) >= self.most:
-            self._lose(now)
+        if not self.enabled or len(self.records) >= self.max_records:
+            self._drop_event(now)
             return
-        self.plain = True  # before the look at what asks for a state: the writer's thread may ask meanwhile
-        if self.dropping or self.wants_state:
-            self.dropping = self.wants_state = False
-            self.records.append((SNAPSHOT, now, self.state()))
+        self.fast_path = True  # set before the requests are read: the writer's thread may request a snapshot meanwhile
+        if self.dropping or self.snapshot_requested:
+            self.dropping = self.snapshot_requested = False
+            self.records.append((SNAPSHOT, now, self.take_snapshot()))
         self.records.append(record)
 
     def action(self, record: tuple[Any, ...]) -> None:
+        """Appends an action, unless the event that caused it was dropped."""
         if not self.dropping:
             self.records.append(record)
 
     def note(self, name: str, now: int, *fields: Any) -> None:
-        """What the module does not see. Without room it goes unnoted: no replay needs it."""
-        if self.on and not self.dropping and len(self.records) < self.most:
+        """Appends something that the module does not see. Without room it is dropped uncounted: no replay needs it."""
+        if self.enabled and not self.dropping and len(self.records) < self.max_records:
             self.records.append((CODES[name], now, *fields))
 
-    def switch(self, on: bool) -> None:
-        """Recording goes on or off; what passes meanwhile is a gap, and counted."""
-        self.on = on
-        self.plain = False
+    def set_enabled(self, enabled: bool) -> None:
+        """Switches recording on or off. Events while it is off are counted as a gap."""
+        self.enabled = enabled
+        self.fast_path = False
 
-    def after_a_hole(self) -> None:
-        """Records were lost on their way to the disk: the next event is preceded by the state."""
-        self.wants_state = True
-        self.plain = False
+    def request_snapshot(self) -> None:
+        """Has a snapshot precede the next event, because records were lost on their way to the disk."""
+        self.snapshot_requested = True
+        self.fast_path = False
 
-    def _lose(self, now: int) -> None:
-        place = len(self.records)
-        if self.dropping and self.gaps and self.gaps[-1][0] == place:
+    def _drop_event(self, now: int) -> None:
+        index = len(self.records)
+        if self.dropping and self.gaps and self.gaps[-1][0] == index:
             _, first, _, count = self.gaps[-1]
-            self.gaps[-1] = place, first, now, count + 1
+            self.gaps[-1] = index, first, now, count + 1
         else:
-            self.gaps.append((place, now, now, 1))
+            self.gaps.append((index, now, now, 1))
         self.dropping = True
-        self.plain = False
+        self.fast_path = False
 
-    def take(self) -> tuple[list[tuple[Any, ...]], list[tuple[int, int, int, int]]]:
-        """All that was noted since the last taking, and the gaps in it."""
+    def drain(self) -> tuple[list[tuple[Any, ...]], list[tuple[int, int, int, int]]]:
+        """Removes and returns all records since the last call, and the gaps among them."""
         records, gaps = self.records, self.gaps
         self.records, self.gaps = [], []
         return records, gaps
 
 
 class RecordingHost:
-    """Passes each action on and notes it."""
+    """Records each action and passes it on to `host`."""
 
     def __init__(self, host: Host, buffer: TraceBuffer) -> None:
         self.host, self.buffer = host, buffer
@@ -150,7 +161,7 @@
 
 
 class RecordingController(CallController):
-    """The controller with its events noted on `tape` before they enter."""
+    """The controller, with each event recorded before it is handled."""
 
     trace_buffer: TraceBuffer
 
@@ -215,8 +226,8 @@
 
 
 def recording_controller(buffer: TraceBuffer, host: Host, *args: Any, **figures: Any) -> CallController:
-    """A controller made as `CallController(host, ...)` would be, on a tape."""
+    """Creates a controller as `CallController(host, ...)` would, recorded into `buffer`."""
     controller = RecordingController(RecordingHost(host, buffer), *args, **figures)
     controller.trace_buffer = buffer
-    buffer.state = lambda: freeze(controller)
+    buffer.take_snapshot = lambda: freeze(controller)
     return controller
--- a/gingergap/trace/live.py
+++ b/gingergap/trace/live.py
@@ -1,32 +1,34 @@
-"""Stories of a running proxy's dialogs, from what its recorder has written, away from the event loop."""
+"""Dialog timelines of a running proxy, built from what its recorder has written, off the event loop."""
 
 from collections.abc import Callable
 from typing import Any
 
-from .format import Source, timed
+from .format import Source, has_time
 from .stream import Entry
 from .timeline import DialogTimeline, TimelineBuilder
 
 
 class LiveTimelines:
-    """What the recorder has written, as stories; `over` is called with each that has come to its end. The recorder's
-    own errors must stay its own: what fails here is told once, and recording goes on."""
+    """Builds timelines from written records and passes each finished one to every consumer.
 
-    def __init__(self, source: Source, log: Any, over: list[Callable[[DialogTimeline], None]]) -> None:
-        self.stories = TimelineBuilder([source])
-        self.log, self.over = log, over
+    A failing consumer must not disturb the recorder: its first error is logged, and recording goes on.
+    """
+
+    def __init__(self, source: Source, log: Any, consumers: list[Callable[[DialogTimeline], None]]) -> None:
+        self.builder = TimelineBuilder([source])
+        self.log, self.consumers = log, consumers
         self.now = 0
         self.failed = False
 
-    def take(self, records: list[list[Any]]) -> None:
+    def add(self, records: list[list[Any]]) -> None:
         for record in records:
-            if record[0] != "gap" and timed(record):
+            if record[0] != "gap" and has_time(record):
                 self.now = record[1]
-            self.stories.take(Entry(0, self.now, record))
-            for story in self.stories.over():
-                for tell in self.over:
+            self.builder.add(Entry(0, self.now, record))
+            for timeline in self.builder.take_finished():
+                for consume in self.consumers:
                     try:
-                        tell(story)
+                        consume(timeline)
                     except Exception as error:
                         if not self.failed:
                             self.log.warning("span-not-written", why=repr(error))
--- a/gingergap/trace/merge.py
+++ b/gingergap/trace/merge.py
@@ -1,9 +1,9 @@
-"""Several proxies' traces in one, by one clock.
+"""Merges the traces of several proxies into one, ordered by a common clock.
 
-Always kept, whatever the clocks say: each proxy's own order, over its restarts too, and that nothing is received before
-it is sent. Three passes, each streamed: find what crossed and estimate the clocks; see whether the estimate would still
-turn a crossing round; write, and if one would be, hold back whatever waits for something that is not out yet. Only then
-does memory grow with the crossings, by their ids.
+Two orders are kept whatever the clocks say: each proxy's own, across its restarts too, and that no message is received
+before it is sent. There are three passes, each of them streamed: match the messages and estimate the clocks; check whether
+the estimate would still put a reception before its sending; write, and if it would, hold back each reception whose sending
+has not been written yet. Only in that case does memory grow with the number of messages, by their ids.
 """
 
 import hashlib
@@ -13,101 +13,112 @@
 from pathlib import Path
 from typing import NamedTuple
 
-from .clocks import Estimate, Way, estimate
-from .copy import Copy
+from .clocks import DirectedDelays, Estimate, estimate_clocks
+from .entry_writer import EntryWriter
 from .format import CODES, FORMAT, BadTraceError, Header, Source
 from .stream import Entry, Trace
 
-SENT, CAME = CODES["sent"], CODES["received"]
+SENT, RECEIVED = CODES["sent"], CODES["received"]
 SECOND = 10_000
-HORIZON = 120 * SECOND  # a crossing whose other side has not come by then has none
+MATCH_HORIZON = 120 * SECOND  # a message whose other side is not found within this time has none
 
 
-class Merged(NamedTuple):
-    """What came of it. `held_back`: crossings that the estimate would have turned round. `forced`: records let go although
-    they were to wait, since all waited for one another: the traces contradict themselves. `given_up`: by how much the worst
-    bound on the clocks was broken (tenths of a millisecond)."""
+class MergeResult(NamedTuple):
+    """Statistics of a merge.
+
+    `messages` is the number of messages recorded by both sides, and `held_back` how many of them the clock estimate would
+    have reordered. `forced` counts records that were written although they should have waited, because all traces waited
+    for one another: the traces contradict themselves. `relaxed_by` is the amount by which the bounds on the clocks had to
+    be relaxed (tenths of a millisecond).
+    """
 
     records: int
-    crossings: int
+    messages: int
     held_back: int
     forced: int
-    given_up: float
+    relaxed_by: float
     sources: list[Source]
 
 
 class Clock:
-    """One process's clock as a line to the common one."""
+    """Maps one process's clock to the common one by a line."""
 
     def __init__(self, source: Source, base: float) -> None:
         self.source = source
-        self.shift = round((source.wall - base) * SECOND) - source.started  # by the wall clocks as they are
-        self.found = Estimate(0.0, 0.0, 0.0)
+        self.shift = round((source.wall - base) * SECOND) - source.started  # by the uncorrected wall clocks
+        self.estimate = Estimate(0.0, 0.0, 0.0)
 
-    def rough(self, now: int) -> int:
+    def by_wall(self, now: int) -> int:
+        """A time of this clock as the uncorrected wall clocks have it."""
         return now + self.shift
 
     def common(self, now: int) -> int:
-        rough = now + self.shift
-        return rough + round(self.found.offset + self.found.drift * rough / SECOND)
+        """A time of this clock by the common clock."""
+        by_wall = now + self.shift
+        return by_wall + round(self.estimate.offset + self.estimate.drift * by_wall / SECOND)
 
 
-def crossings(clocks: list[Clock], traces: list[Trace]) -> Iterator[tuple[bytes, int, int, int, int]]:
-    """Each thing that was sent here and received there: its id, sender and time, receiver and time, by their own clocks.
-    Streamed side by side by the wall clocks; memory holds what crossed within the horizon."""
-    waiting: OrderedDict[tuple[bytes, int], tuple[int, int, int]] = OrderedDict()
+def match_messages(clocks: list[Clock], traces: list[Trace]) -> Iterator[tuple[bytes, int, int, int, int]]:
+    """Each message that one trace sent and another received: its id, sender and time, receiver and time, by their own
+    clocks. The traces are streamed side by side by the wall clocks; memory holds the messages within the match horizon.
+    """
+    unmatched: OrderedDict[tuple[bytes, int], tuple[int, int, int]] = OrderedDict()
 
-    def side(place: int) -> Iterator[tuple[int, int, Entry]]:
-        for entry in traces[place].entries():
-            if entry.record[0] in (SENT, CAME):
-                yield clocks[place].rough(entry.now), place, entry
+    def messages_of(index: int) -> Iterator[tuple[int, int, Entry]]:
+        for entry in traces[index].entries():
+            if entry.record[0] in (SENT, RECEIVED):
+                yield clocks[index].by_wall(entry.time), index, entry
 
-    for rough, place, entry in heapq.merge(*(side(place) for place in range(len(traces))), key=lambda item: item[:2]):
-        code, now, crossed, _ = entry.record
-        other = waiting.pop((crossed, CAME + SENT - code), None)
+    for by_wall, index, entry in heapq.merge(*(messages_of(index) for index in range(len(traces))), key=lambda item: item[:2]):
+        code, now, message, _ = entry.record
+        other = unmatched.pop((message, RECEIVED + SENT - code), None)
         if other is None:
-            waiting[crossed, code] = rough, place, now
-        elif other[1] != place:
-            _, there, then = other
-            yield (crossed, place, now, there, then) if code == SENT else (crossed, there, then, place, now)
-        while waiting and next(iter(waiting.values()))[0] < rough - HORIZON:
-            waiting.popitem(last=False)
-
-
-def merge(traces: list[Trace], path: Path) -> Merged:
-    """Raises BadTraceError."""
+            unmatched[message, code] = by_wall, index, now
+        elif other[1] != index:
+            _, other_index, other_time = other
+            yield (
+                (message, index, now, other_index, other_time) if code == SENT else (message, other_index, other_time, index, now)
+            )
+        while unmatched and next(iter(unmatched.values()))[0] < by_wall - MATCH_HORIZON:
+            unmatched.popitem(last=False)
+
+
+def merge(traces: list[Trace], path: Path) -> MergeResult:
+    """Merges traces into a new file. Raises BadTraceError."""
     for trace in traces:
         if trace.merged or trace.header.bare:
             raise BadTraceError(f"{trace.name}: a {'merged' if trace.merged else 'bare'} trace can't be merged")
     base = min(trace.header.wall for trace in traces)
     clocks = [Clock(trace.sources[0], base) for trace in traces]
-    spans = [_span(trace) for trace in traces]
-    # Processes of one instance in the order of their starts: all of one lies before all of the next.
-    before = {
-        later: early
-        for early, later in zip(range(len(traces)), range(1, len(traces)), strict=False)
-        if traces[early].header.instance == traces[later].header.instance
+    spans = [_time_span(trace) for trace in traces]
+    # Processes of one instance, in the order of their starts: all of one precedes all of the next.
+    predecessors = {
+        later: earlier
+        for earlier, later in zip(range(len(traces)), range(1, len(traces)), strict=False)
+        if traces[earlier].header.instance == traces[later].header.instance
     }
-    ways: dict[tuple[int, int], Way] = {}
-    many = 0
-    for _, sender, sent, receiver, received in crossings(clocks, traces):
-        many += 1
-        ways.setdefault((sender, receiver), Way()).add(clocks[sender].rough(sent), clocks[receiver].rough(received))
-    after = [
-        (early, clocks[early].rough(spans[early][1]), later, clocks[later].rough(spans[later][0]))
-        for later, early in before.items()
+    delays: dict[tuple[int, int], DirectedDelays] = {}
+    messages = 0
+    for _, sender, sent, receiver, received in match_messages(clocks, traces):
+        messages += 1
+        delays.setdefault((sender, receiver), DirectedDelays()).add(
+            clocks[sender].by_wall(sent), clocks[receiver].by_wall(received)
+        )
+    orderings = [
+        (earlier, clocks[earlier].by_wall(spans[earlier][1]), later, clocks[later].by_wall(spans[later][0]))
+        for later, earlier in predecessors.items()
     ]
-    begin = min(clock.rough(span[0]) for clock, span in zip(clocks, spans, strict=True))
-    end = max(clock.rough(span[1]) for clock, span in zip(clocks, spans, strict=True))
-    found, given_up = estimate(len(clocks), ways, after, 0, end)
-    for clock, one in zip(clocks, found, strict=True):
-        clock.found = one
-    turned = sum(
+    begin = min(clock.by_wall(span[0]) for clock, span in zip(clocks, spans, strict=True))
+    end = max(clock.by_wall(span[1]) for clock, span in zip(clocks, spans, strict=True))
+    estimates, relaxed_by = estimate_clocks(len(clocks), delays, orderings, 0, end)
+    for clock, estimate in zip(clocks, estimates, strict=True):
+        clock.estimate = estimate
+    reordered = sum(
         clocks[sender].common(sent) >= clocks[receiver].common(received)
-        for _, sender, sent, receiver, received in crossings(clocks, traces)
+        for _, sender, sent, receiver, received in match_messages(clocks, traces)
     )
-    # Whoever is held back sends what it sends later too: once one crossing must wait, all are watched.
-    watched = {crossed for crossed, *_ in crossings(clocks, traces)} if turned else set()
+    # Holding a proxy's record back also delays what it sends later: if one message must wait, all are watched.
+    watched = {message for message, *_ in match_messages(clocks, traces)} if reordered else set()
     sources = [
         Source(
             trace.header.module,
@@ -116,9 +127,9 @@
             trace.header.wall,
             trace.header.started,
             trace.header.figures,
-            round(clock.shift + clock.found.offset),
-            round(clock.found.drift, 6),
-            round(clock.found.uncertain, 2),
+            round(clock.shift + clock.estimate.offset),
+            round(clock.estimate.drift, 6),
+            round(clock.estimate.uncertainty, 2),
         )
         for trace, clock in zip(traces, clocks, strict=True)
     ]
@@ -133,88 +144,95 @@
         0,
         {},
         sources=sources,
-        whole=all(trace.whole for trace in traces),
+        whole=all(trace.from_start for trace in traces),
     )
-    copy = Copy(path, header)
+    writer = EntryWriter(path, header)
     forced = 0
     last = begin
-    for entry, pushed in ordered(clocks, traces, before, watched):
-        last = max(last, entry.now)
-        copy.put(entry._replace(now=last))
-        forced += pushed
-    copy.close()
-    return Merged(copy.records, many, turned, forced, given_up, sources)
-
-
-def ordered(clocks: list[Clock], traces: list[Trace], before: dict[int, int], watched: set[bytes]) -> Iterator[tuple[Entry, bool]]:
-    """All entries by the common clock, `watched` crossings received only once they are sent; and whether one was let go
-    that should have waited."""
+    for entry, was_forced in merge_entries(clocks, traces, predecessors, watched):
+        last = max(last, entry.time)
+        writer.write(entry._replace(time=last))
+        forced += was_forced
+    writer.close()
+    return MergeResult(writer.record_count, messages, reordered, forced, relaxed_by, sources)
+
+
+def merge_entries(
+    clocks: list[Clock], traces: list[Trace], predecessors: dict[int, int], watched: set[bytes]
+) -> Iterator[tuple[Entry, bool]]:
+    """All entries by the common clock, with `watched` messages received only after they are sent.
+
+    The flag is set for an entry that was forced: it should have waited, but everything else waited too. `predecessors`
+    maps a process to the one of the same instance before it.
+    """
     streams = [trace.entries() for trace in traces]
-    heads: dict[int, Entry] = {}
+    heads: dict[int, Entry] = {}  # by index of the stream
     heap: list[tuple[int, int]] = []
-    waiting: dict[bytes, int] = {}  # crossing: the place whose head waits for it
-    behind: dict[int, list[int]] = {}  # place: those that begin when it is over
+    waiting: dict[bytes, int] = {}  # message: the stream whose head waits for its sending
+    successors: dict[int, list[int]] = {}  # stream: those that begin when it has ended
     sent: set[bytes] = set()
 
-    def advance(place: int) -> None:
-        entry = next(streams[place], None)
+    def advance(index: int) -> None:
+        entry = next(streams[index], None)
         if entry is None:
-            for later in behind.pop(place, []):
+            for later in successors.pop(index, []):
                 advance(later)
             return
-        heads[place] = entry
+        heads[index] = entry
         record = entry.record
-        if record[0] == CAME and record[2] in watched and record[2] not in sent:
-            waiting[record[2]] = place
+        if record[0] == RECEIVED and record[2] in watched and record[2] not in sent:
+            waiting[record[2]] = index
         else:
-            heapq.heappush(heap, (clocks[place].common(entry.now), place))
-
-    for place in range(len(streams)):
-        if place in before:
-            behind.setdefault(before[place], []).append(place)
-    for place in range(len(streams)):
-        if place not in before:
-            advance(place)
+            heapq.heappush(heap, (clocks[index].common(entry.time), index))
+
+    for index in range(len(streams)):
+        if index in predecessors:
+            successors.setdefault(predecessors[index], []).append(index)
+    for index in range(len(streams)):
+        if index not in predecessors:
+            advance(index)
     while heap or waiting:
-        pushed = not heap
-        if pushed:
-            crossed, place = min(waiting.items(), key=lambda item: (clocks[item[1]].common(heads[item[1]].now), item[1]))
-            del waiting[crossed]
-            now = clocks[place].common(heads[place].now)
+        forced = not heap
+        if forced:
+            message, index = min(waiting.items(), key=lambda item: (clocks[item[1]].common(heads[item[1]].time), item[1]))
+            del waiting[message]
+            now = clocks[index].common(heads[index].time)
         else:
-            now, place = heapq.heappop(heap)
-        entry = heads.pop(place)
-        yield Entry(place, now, entry.record), pushed
+            now, index = heapq.heappop(heap)
+        entry = heads.pop(index)
+        yield Entry(index, now, entry.record), forced
         if entry.record[0] == SENT and entry.record[2] in watched:
             sent.add(entry.record[2])
-            waits = waiting.pop(entry.record[2], None)
-            if waits is not None:
-                heapq.heappush(heap, (max(now, clocks[waits].common(heads[waits].now)), waits))
-        advance(place)
-
-
-def order(trace: Trace) -> tuple[int, int]:
-    """Of a merged trace: how many crossings both sides of which are in it, and how many of them stand turned round."""
-    many = turned = 0
-    seen: OrderedDict[tuple[bytes, int], int] = OrderedDict()
+            receiver = waiting.pop(entry.record[2], None)
+            if receiver is not None:
+                heapq.heappush(heap, (max(now, clocks[receiver].common(heads[receiver].time)), receiver))
+        advance(index)
+
+
+def count_reordered(trace: Trace) -> tuple[int, int]:
+    """Of a merged trace: the number of messages recorded by both sides, and how many of them are received before they
+    are sent.
+    """
+    messages = reordered = 0
+    unmatched: OrderedDict[tuple[bytes, int], int] = OrderedDict()
     for entry in trace.entries():
         code = entry.record[0]
-        if code not in (SENT, CAME):
+        if code not in (SENT, RECEIVED):
             continue
-        crossed = entry.record[2]
-        other = seen.pop((crossed, CAME + SENT - code), None)
+        message = entry.record[2]
+        other = unmatched.pop((message, RECEIVED + SENT - code), None)
         if other is None:
-            seen[crossed, code] = entry.now
+            unmatched[message, code] = entry.time
         else:
-            many += 1
-            turned += code == SENT
-        while seen and next(iter(seen.values())) < entry.now - HORIZON:
-            seen.popitem(last=False)
-    return many, turned
+            messages += 1
+            reordered += code == SENT
+        while unmatched and next(iter(unmatched.values())) < entry.time - MATCH_HORIZON:
+            unmatched.popitem(last=False)
+    return messages, reordered
 
 
-def _span(trace: Trace) -> tuple[int, int]:
-    places = trace.places()
-    if not places:
+def _time_span(trace: Trace) -> tuple[int, int]:
+    locations = trace.block_locations()
+    if not locations:
         raise BadTraceError(f"{trace.name}: nothing in it")
-    return places[0].stretch.first, places[-1].stretch.last
+    return locations[0].summary.first_time, locations[-1].summary.last_time
--- a/gingergap/trace/replay.py
+++ b/gingergap/trace/replay.py
@@ -1,7 +1,7 @@
-"""Feeds a trace's events to the module and compares every action that it asks for with the one that was noted.
+"""Feeds a trace's events to the decision module and compares each action that it takes with the recorded one.
 
-Begins with the figures of the header, or with a snapshot where the start is not in the trace; after a gap it goes on
-from the next snapshot. What lies between a gap and a snapshot is passed over and counted.
+A replay begins with the arguments in the header, or with a snapshot if the trace does not begin at the process's start;
+after a gap it resumes at the next snapshot. Events between a gap and a snapshot are skipped and counted.
 """
 
 from collections import deque
@@ -16,40 +16,43 @@
 from .stored_names import present_arguments
 from .stream import Entry
 
-SHOWN = 12  # records kept to be shown before a difference
+CONTEXT_RECORDS = 12  # records kept for display before a difference
 
 
 class Difference(NamedTuple):
-    """A place where the module asked for something else. `place` counts the source's records from 0."""
+    """The first action that differs: the recorded and the replayed one (None: no action), and the records before it.
 
-    place: int
-    noted: list[Any] | None
-    asked: list[Any] | None
+    `record_index` counts the source's records from 0.
+    """
+
+    record_index: int
+    recorded: list[Any] | None
+    replayed: list[Any] | None
     before: list[list[Any]]
 
 
 class ActionCollector:
-    """A host that keeps what it is asked for."""
+    """A host that collects the actions it is asked for."""
 
     def __init__(self) -> None:
-        self.done: deque[list[Any]] = deque()
+        self.actions: deque[list[Any]] = deque()
 
     def __getattr__(self, name: str) -> Any:
         code = CODES[name]
-        return lambda *fields: self.done.append([code, *fields])
+        return lambda *fields: self.actions.append([code, *fields])
 
 
 def create_controller(header: Header | Source, host: Any, module: ModuleType = call_controller) -> Any:
-    """The module as it was made when the trace was begun."""
-    figures = present_arguments(header.figures)
-    types = [TrafficType(*entry[:5], None if entry[5] is None else frozenset(entry[5])) for entry in figures.pop("traffic_types")]
+    """Creates the controller with the arguments that the recorded one was created with."""
+    arguments = present_arguments(header.figures)
+    types = [TrafficType(*entry[:5], None if entry[5] is None else frozenset(entry[5])) for entry in arguments.pop("traffic_types")]
     return module.CallController(
-        host, figures.pop("seed"), figures.pop("own_exchange"), figures.pop("proxy_count"), types, **figures
+        host, arguments.pop("seed"), arguments.pop("own_exchange"), arguments.pop("proxy_count"), types, **arguments
     )
 
 
 def feed(controller: Any, record: list[Any]) -> None:
-    """One event into the module."""
+    """Calls the controller's method for an event."""
     name, fields = NAMES[record[0]], record[1:]
     if name == "exchange_list_received":
         now, entries, whole = fields
@@ -60,110 +63,116 @@
         now, dialog, gw, how, rsn, over, free, size = fields
         controller.leg_ended(now, dialog, gw, LegEnd(how), rsn, over, free, size)
     elif name == "restore":
-        now, told, age = fields
-        controller.restore(now, learned_from_lists(told), age)
+        now, learned, age = fields
+        controller.restore(now, learned_from_lists(learned), age)
     else:
         getattr(controller, name)(*fields)
 
 
-def learned_from_lists(told: list[Any]) -> Learned:
-    """What a module was told of another's memory, from plain lists."""
-    at, exchanges, pairs, callers, best_rate, pace = told
+def learned_from_lists(fields: list[Any]) -> Learned:
+    """Rebuilds what a controller learned from the plain lists that a trace stores."""
+    now, exchanges, pairs, callers, best_rate, pace = fields
     return Learned(
-        at,
-        [KnownExchange(*one) for one in exchanges],
-        [KnownPair(*one) for one in pairs],
-        [KnownCaller(*one) for one in callers],
+        now,
+        [KnownExchange(*exchange) for exchange in exchanges],
+        [KnownPair(*pair) for pair in pairs],
+        [KnownCaller(*caller) for caller in callers],
         best_rate,
         pace,
     )
 
 
 class Replay:
-    """One source's records, one at a time. `make` gives the controller at the start."""
+    """Replays one source's records, one at a time. `from_start`: the first record is the process's first."""
 
-    def __init__(self, source: Header | Source, whole: bool = True, module: ModuleType = call_controller) -> None:
+    def __init__(self, source: Header | Source, from_start: bool = True, module: ModuleType = call_controller) -> None:
         self.source, self.module = source, module
         self.host = ActionCollector()
-        self.controller = create_controller(source, self.host, module) if whole else None
-        self.before: deque[list[Any]] = deque(maxlen=SHOWN)
-        self.place = 0
-        self.events = self.actions = self.passed_over = self.gaps = self.resumed = 0
-        self.first: int | None = None
-        self.last = 0
+        self.controller = create_controller(source, self.host, module) if from_start else None
+        self.before: deque[list[Any]] = deque(maxlen=CONTEXT_RECORDS)
+        self.record_index = 0
+        self.events = self.actions = self.skipped_events = self.gaps = self.resumed = 0
+        self.first_time: int | None = None
+        self.last_time = 0
         self.difference: Difference | None = None
 
     def take(self, record: list[Any]) -> bool:
-        """Whether all is alike so far; once it is not, nothing more is compared. Raises BadSnapshotError."""
+        """Replays a record; returns whether everything has matched so far. After a difference nothing is compared any
+        more. Raises BadSnapshotError.
+        """
         if self.difference is not None:
             return False
         if type(record) is tuple:
             record = list(record)
         code = record[0]
         if code == "gap":
-            self._expect_nothing()
+            self._expect_no_action()
             self.gaps += 1
             self.controller = None
         elif code == SNAPSHOT:
-            self._expect_nothing()
+            self._expect_no_action()
             if self.controller is None:
                 self.controller = thaw(record[2], self.host, self.module)
                 self.resumed += 1
         elif code >= FIRST_NOTE:
             pass
         elif self.controller is None:
-            self.passed_over += is_event(code)
+            self.skipped_events += is_event(code)
         elif is_action(code):
-            asked = self.host.done.popleft() if self.host.done else None
-            if asked != record:
-                self._differs(record, asked)
+            action = self.host.actions.popleft() if self.host.actions else None
+            if action != record:
+                self._set_difference(record, action)
             self.actions += 1
         else:
-            self._expect_nothing()
+            self._expect_no_action()
             if self.difference is None:
                 self.events += 1
-                self.first = record[1] if self.first is None else self.first
-                self.last = record[1]
+                self.first_time = record[1] if self.first_time is None else self.first_time
+                self.last_time = record[1]
                 feed(self.controller, record)
         if self.difference is None:
             self.before.append(record)
-        self.place += code != "gap"
+        self.record_index += code != "gap"
         return self.difference is None
 
-    def over(self) -> bool:
-        """The trace is at its end; whether all was alike. A file that breaks off may have lost its last actions."""
-        self._expect_nothing()
+    def finish(self) -> bool:
+        """Ends the replay; returns whether everything matched. The last actions may be missing from a file that was
+        truncated.
+        """
+        self._expect_no_action()
         return self.difference is None
 
-    def _expect_nothing(self) -> None:
-        if self.host.done and self.difference is None:
-            self._differs(None, self.host.done[0])
+    def _expect_no_action(self) -> None:
+        if self.host.actions and self.difference is None:
+            self._set_difference(None, self.host.actions[0])
 
-    def _differs(self, noted: list[Any] | None, asked: list[Any] | None) -> None:
-        self.difference = Difference(self.place, noted, asked, list(self.before))
+    def _set_difference(self, recorded: list[Any] | None, replayed: list[Any] | None) -> None:
+        self.difference = Difference(self.record_index, recorded, replayed, list(self.before))
 
     @property
-    def span(self) -> int:
-        """Tenths of a millisecond between the first and the last event fed."""
-        return 0 if self.first is None else self.last - self.first
+    def duration(self) -> int:
+        """Tenths of a millisecond between the first and the last event replayed."""
+        return 0 if self.first_time is None else self.last_time - self.first_time
 
 
 def replay(
-    sources: list[Source] | list[Header], entries: Iterable[Entry], whole: bool = True, module: ModuleType = call_controller
+    sources: list[Source] | list[Header], entries: Iterable[Entry], from_start: bool = True, module: ModuleType = call_controller
 ) -> list[Replay]:
-    """Each source's events to a module of its own, to the end or to the first difference of any. `whole`: the entries
-    begin where the processes did."""
-    replays = [Replay(source, whole, module) for source in sources]
+    """Replays each source's events with a controller of its own, up to the end or the first difference of any source.
+
+    `from_start`: the entries begin where the processes did.
+    """
+    replays = [Replay(source, from_start, module) for source in sources]
     for entry in entries:
         if not replays[entry.source].take(entry.record):
             return replays
-    for one in replays:
-        one.over()
+    for source_replay in replays:
+        source_replay.finish()
     return replays
 
 
 def format_record(record: list[Any]) -> str:
-    """A record as a person reads it."""
+    """A record as a line of text."""
     if record[0] == "gap":
         lost = "events not counted, lost" if record[3] < 0 else f"{record[3]} events lost"
         return f"gap: {lost} between {record[1]} and {record[2]}"
--- a/gingergap/trace/stream.py
+++ b/gingergap/trace/stream.py
@@ -1,30 +1,32 @@
-"""Traces as streams: the parts of one process in order, of several processes side by side, block by block in memory.
+"""Reads traces as streams of entries, one block in memory at a time.
 
-A stream gives entries: the source's place among the trace's sources, the time, the record. Actions have the time of the
-event before them. Parts that are missing and files that break off come as gaps.
+A trace is the parts of one process in order, or one merged file. Each entry is a record with the index of its source and
+its time; actions have the time of the event before them. Missing parts and damaged files appear as gaps.
 """
 
 from collections.abc import Iterable, Iterator
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from .format import EVENTS, GAP, BadTraceError, Block, Reader, Source, Stretch, stretch_of, timed
+from .format import EVENTS, GAP, BadTraceError, Block, BlockSummary, Reader, Source, has_time, unpack_summary
 
-UNKNOWN = -1  # how many events a gap lost, where nobody counted
+UNKNOWN = -1  # number of events lost in a gap, if they were not counted
 
 
 class Entry(NamedTuple):
+    """A record with its source, an index into the trace's sources."""
+
     source: int
-    now: int  # tenths of a millisecond by the trace's clock
-    record: list[Any]  # its first field is "gap" for a hole
+    time: int  # tenths of a millisecond by the trace's clock
+    record: list[Any]  # its first field is "gap" for a gap
 
 
-class Place(NamedTuple):
-    """Where a block is: which part, which byte, and what its frame says."""
+class BlockLocation(NamedTuple):
+    """An EVENTS block: the index of its part, its byte offset there and its summary."""
 
     part: int
-    at: int
-    stretch: Stretch
+    offset: int
+    summary: BlockSummary
 
 
 class Trace:
@@ -43,7 +45,7 @@
             Source(first.module, first.epoch, first.instance, first.wall, first.started, first.figures)
         ]
         self.merged = bool(first.sources)
-        self.whole = first.whole and first.part == 0
+        self.from_start = first.whole and first.part == 0  # whether it begins where the process did
 
     @property
     def name(self) -> str:
@@ -53,72 +55,78 @@
         for reader in self.readers:
             reader.close()
 
-    def breaks(self) -> list[str]:
-        """A line for each file that could not be read to its end, once it has been read."""
+    def corruption_messages(self) -> list[str]:
+        """A line for each file that could not be read to its end, known once it has been read."""
         return [
-            f"{reader.path.name}: readable up to byte {reader.broken.at}: {reader.broken.why}"
+            f"{reader.path.name}: readable up to byte {reader.corruption.offset}: {reader.corruption.reason}"
             for reader in self.readers
-            if reader.broken is not None
+            if reader.corruption is not None
         ]
 
-    def places(self) -> list[Place]:
-        return [Place(part, at, stretch) for part, reader in enumerate(self.readers) for at, stretch in reader.stretches()]
+    def block_locations(self) -> list[BlockLocation]:
+        """All EVENTS blocks in order."""
+        return [
+            BlockLocation(part, offset, summary)
+            for part, reader in enumerate(self.readers)
+            for offset, summary in reader.block_summaries()
+        ]
 
-    def entries(self, since: Place | None = None) -> Iterator[Entry]:
-        """All entries in order; from a block on, if one is given."""
+    def entries(self, since: BlockLocation | None = None) -> Iterator[Entry]:
+        """All entries in order, from the block `since` on if one is given."""
         now = 0
-        previous: int | None = None
+        next_part: int | None = None
         for part, reader in enumerate(self.readers):
             if since is not None and part < since.part:
                 continue
-            if since is None and (reader.header.part != previous if previous is not None else reader.header.part > 0):
+            if since is None and (reader.header.part != next_part if next_part is not None else reader.header.part > 0):
                 yield Entry(0, now, ["gap", now, now, UNKNOWN])
-            previous = reader.header.part + 1
-            blocks = self._from(reader, since.at) if since is not None and part == since.part else reader.blocks()
+            next_part = reader.header.part + 1
+            blocks = self._blocks_from(reader, since.offset) if since is not None and part == since.part else reader.blocks()
             for block in blocks:
-                for entry in self.unpacked(reader, block):
-                    now = entry.now
+                for entry in self.unpack_block(reader, block):
+                    now = entry.time
                     yield entry
             since = None
-            if reader.broken is not None and part + 1 < len(self.readers):
+            if reader.corruption is not None and part + 1 < len(self.readers):
                 yield Entry(0, now, ["gap", now, now, UNKNOWN])
 
-    def unpacked(self, reader: Reader, block: Block) -> Iterator[Entry]:
+    def unpack_block(self, reader: Reader, block: Block) -> Iterator[Entry]:
         """The entries of one block."""
         if block.kind not in (EVENTS, GAP):
             return
         if self.merged and block.kind == EVENTS:
-            for source, now, *record in reader.unpacked(block):
+            for source, now, *record in reader.unpack_block(block):
                 yield Entry(source, now, record)
             return
-        now = stretch_of(block.payload, reader.version).first if block.kind == EVENTS else 0
-        for record in reader.unpacked(block):
+        now = unpack_summary(block.payload, reader.version).first_time if block.kind == EVENTS else 0
+        for record in reader.unpack_block(block):
             if record[0] == "gap":
-                if len(record) == 5:  # of a merged trace: the source is told last
+                if len(record) == 5:  # in a merged trace the last field is the source
                     yield Entry(record[4], record[2], record[:4])
                 else:
                     yield Entry(0, record[2], record)
                 continue
-            if timed(record):
+            if has_time(record):
                 now = record[1]
             yield Entry(0, now, record)
 
     @staticmethod
-    def _from(reader: Reader, at: int) -> Iterator[Block]:
-        reader.broken = None
-        block = reader.block_at(at)
+    def _blocks_from(reader: Reader, offset: int) -> Iterator[Block]:
+        reader.corruption = None
+        block = reader.block_at(offset)
         while block is not None:
             yield block
-            block = reader.block_at(block.at + reader.block_size(block))
+            block = reader.block_at(block.offset + reader.block_size(block))
 
-    def wall(self, now: int) -> float:
-        """Seconds of wall time at a time of this trace's clock."""
+    def wall_time(self, now: int) -> float:
+        """Wall-clock time in seconds at a time of this trace's clock."""
         return self.header.wall + (now - self.header.started) / 10_000
 
 
 def open_traces(paths: Iterable[Path]) -> list[Trace]:
-    """Files by the process that wrote them, in order of name. Folders stand for the traces in them. Raises
-    BadTraceError."""
+    """Opens files, grouped by the process that wrote them, in order of instance and start. A folder stands for the
+    traces in it. Raises BadTraceError.
+    """
     files: list[Path] = []
     for path in paths:
         files += sorted(path.glob("*.trace")) if path.is_dir() else [path]
@@ -128,7 +136,7 @@
     for path in files:
         reader = Reader(path)
         header = reader.header
-        alone = str(path) if header.sources or header.window else ""  # what a tool wrote is a trace of its own
-        groups.setdefault((header.instance, header.epoch, alone), []).append(reader)
+        separate = str(path) if header.sources or header.window else ""  # a merged or cut file is a trace of its own
+        groups.setdefault((header.instance, header.epoch, separate), []).append(reader)
     traces = [Trace(readers) for _, readers in sorted(groups.items())]
     return sorted(traces, key=lambda trace: (trace.header.instance, trace.header.wall, trace.header.epoch))
--- a/gingergap/trace/summary.py
+++ b/gingergap/trace/summary.py
@@ -1,6 +1,7 @@
-"""A trace in figures: what came, what stood, set-up times, and each far end's troubles, by spans of time. Pure.
+"""Summarises a trace: arrivals, outcomes, set-up times, and each destination's failures, by intervals of time. No I/O.
 
-One `Slice` for each span of each source; they are what the tables, the chart and the search for causes read.
+There is one `TimeSlice` for each interval of each source; the tables, the chart and the search for causes read them.
+Times are tenths of a millisecond unless stated otherwise.
 """
 
 from collections import Counter
@@ -13,16 +14,16 @@
 from .stream import Entry
 from .timeline import (
     ABORT,
-    CAME,
     DECLINE,
     DECLINED,
+    DIALOG_ESTABLISHED,
+    DIALOG_RECEIVED,
     ESTABLISHED,
     GIVEN_UP,
     LEG_ENDED,
-    SEND,
-    STANDS,
+    SEND_LEG,
     DialogTimeline,
-    Leg,
+    LegTimeline,
     TimelineBuilder,
 )
 
@@ -30,59 +31,62 @@
     CODES[name]
     for name in ("tick", "exchange_list_received", "exchange_list_failed", "trunk_group_reported", "dialog_rejected", "ran_late")
 )
-LONGEST = 600_000_000  # microseconds in a histogram
-STANDSTILL = 2_500  # 250 ms in which nothing happened: the module's own beat comes fifty times a second
-AFTER = 10_000  # dialogs that come within a second after a standstill meet what it left behind
-OVERTAKES = 300  # 30 ms: legs that left so close to one another may change places on the way
+MAX_DURATION_US = 600_000_000  # the largest value of a histogram
+STANDSTILL = 2_500  # 250 ms without any record: the module's own timer fires fifty times a second
+STANDSTILL_AFTERMATH = 10_000  # dialogs that arrive within a second after a standstill meet the backlog it left
+OVERTAKING_TOLERANCE = 300  # 30 ms: legs sent so close to one another may be reordered in the network
 
 
 def histogram() -> HdrHistogram:
-    """Of microseconds, three digits."""
-    return HdrHistogram(1, LONGEST, 3)
+    """Of microseconds, three significant digits."""
+    return HdrHistogram(1, MAX_DURATION_US, 3)
 
 
-class Far:
-    """What happened with legs to one far end in a span: how they ended, how long they were out."""
+class DestinationStats:
+    """The dialogs and legs to one destination in an interval: how the legs ended, how long they were out."""
 
     __slots__ = (
         "legs",
         "ends",
-        "set_ups",
-        "stood",
-        "refused",
+        "setup_durations",
+        "established",
+        "refusals",
         "overtaken",
-        "asked",
+        "dialogs",
         "lost",
-        "lost_full",
-        "lost_kept",
-        "lost_silent",
-        "listed_late",
+        "lost_no_circuit",
+        "lost_held_back",
+        "lost_unanswered",
+        "listing_delay",
     )
 
     def __init__(self) -> None:
-        self.legs = self.stood = 0
+        self.legs = self.established = 0
         self.overtaken = 0  # legs still out when a later one to the same machine was answered
-        self.asked = self.lost = 0  # dialogs for it, and those that did not stand in time
-        self.lost_full = 0  # of these, no circuit was free when they came or when they were given up
-        self.lost_kept = 0  # of these, no leg was sent although circuits were free
-        self.lost_silent = 0  # of these, all was done that could be, and no answer came
-        self.listed_late = -1  # by how much the list told its new start late
+        self.dialogs = self.lost = 0  # dialogs to it, and those that were not established in time
+        self.lost_no_circuit = 0  # of those lost: no circuit was free when they arrived or were given up
+        self.lost_held_back = 0  # of those lost: no leg was sent although circuits were free
+        self.lost_unanswered = 0  # of those lost: legs were sent, circuits were free, and no answer came
+        self.listing_delay = -1  # how long after its new start the list announced it
         self.ends: Counter[LegEnd] = Counter()
-        self.refused: Counter[int] = Counter()  # reasons of those that came back full
-        self.set_ups: list[int] = []  # of legs that stood
+        self.refusals: Counter[int] = Counter()  # by reason, of legs that ended as FULL
+        self.setup_durations: list[int] = []  # of established legs
 
 
 class TimeSlice:
-    """One span of one source. Dialogs count in the span of their arrival, legs in that of their start; in transit ones
-    are apart: they are another proxy's dialogs too."""
+    """One interval of one source.
+
+    Dialogs count in the interval of their arrival, legs in that of their start. Dialogs in transit are counted apart,
+    since they are another proxy's dialogs too.
+    """
 
     __slots__ = (
         "source",
         "begin",
-        "came",
-        "worth",
-        "earned",
-        "stood",
+        "arrived",
+        "importance_offered",
+        "importance_served",
+        "established",
         "late",
         "declined",
         "aborted",
@@ -92,222 +96,234 @@
         "transit_refused",
         "turned_away",
         "standstill",
-        "beats",
+        "ticks",
         "lateness",
         "exchange_list_failed",
-        "far",
+        "destinations",
         "causes",
-        "after_standstill",
+        "lost_after_standstill",
     )
 
     def __init__(self, source: int, begin: int) -> None:
         self.source, self.begin = source, begin
-        self.came = self.stood = self.late = self.declined = self.aborted = self.given_up = self.no_leg = 0
-        self.worth = self.earned = 0.0
-        self.in_transit = self.transit_refused = self.turned_away = self.exchange_list_failed = self.beats = 0
-        self.standstill = 0  # the longest time between two things that happened
-        self.lateness = 0  # the most that a timer was late
-        self.after_standstill = 0  # dialogs lost that came while nothing happened, or soon after it
-        self.far: dict[int, Far] = {}
+        self.arrived = self.established = self.late = self.declined = self.aborted = self.given_up = self.no_leg = 0
+        self.importance_offered = self.importance_served = 0.0
+        self.in_transit = self.transit_refused = self.turned_away = self.exchange_list_failed = self.ticks = 0
+        self.standstill = 0  # the longest time without any record
+        self.lateness = 0  # the largest delay of a timer
+        self.lost_after_standstill = 0  # dialogs lost that arrived during a standstill or soon after it
+        self.destinations: dict[int, DestinationStats] = {}
         self.causes: Counter[str] = Counter()
 
     @property
     def lost(self) -> int:
-        """Dialogs that did not stand in time, and those turned away at the door."""
-        return self.came - self.stood + self.late + self.turned_away
+        """Dialogs that were not established in time, and those turned away by the proxy before the module saw them."""
+        return self.arrived - self.established + self.late + self.turned_away
 
-    def at(self, number: int) -> Far:
-        far = self.far.get(number)
-        if far is None:
-            far = self.far[number] = Far()
-        return far
+    def destination(self, number: int) -> DestinationStats:
+        stats = self.destinations.get(number)
+        if stats is None:
+            stats = self.destinations[number] = DestinationStats()
+        return stats
 
 
 class TraceSummary:
-    """Takes entries in order. `span` in tenths of a millisecond."""
+    """Summarises entries that are added in order. `interval` is the length of a slice."""
 
-    def __init__(self, sources: list[Source] | list[Header], span: int) -> None:
-        self.sources, self.span = sources, span
-        self.stories = TimelineBuilder(sources)
+    def __init__(self, sources: list[Source] | list[Header], interval: int) -> None:
+        self.sources, self.interval = sources, interval
+        self.timeline_builder = TimelineBuilder(sources)
         self.slices: list[dict[int, TimeSlice]] = [{} for _ in sources]
-        self.heard: list[int] = [-1] * len(sources)
-        self.states: list[dict[int, tuple[int, int]]] = [{} for _ in sources]  # gw: state and start, as last listed
-        self.free: list[dict[int, int]] = [{} for _ in sources]  # circuits to each exchange number, as last told
-        self.out: list[dict[int, dict[int, int]]] = [{} for _ in sources]  # gw: dialog: when its leg left
-        self.short: dict[tuple[int, int], bool] = {}  # dialogs that came when no circuit was free
-        self.still_until = [-1] * len(sources)  # the end of the last standstill
-        self.set_up = {True: histogram(), False: histogram()}  # direct, over a tandem
-        self.answered = histogram()  # from arrival to final answer of those that did not stand
+        self.last_record_at: list[int] = [-1] * len(sources)
+        self.exchange_states: list[dict[int, tuple[int, int]]] = [{} for _ in sources]  # gw: state and start, as last listed
+        self.free_circuits: list[dict[int, int]] = [{} for _ in sources]  # by exchange number, as last reported
+        self.legs_out: list[dict[int, dict[int, int]]] = [{} for _ in sources]  # gw: dialog: when its leg was sent
+        # Keys are (source, dialog) of dialogs that met no free circuit, and (-1 - source, dialog) of those that arrived
+        # during or soon after a standstill.
+        self.marked: dict[tuple[int, int], bool] = {}
+        self.standstill_ended_at = [-1] * len(sources)
+        self.setup_histograms = {True: histogram(), False: histogram()}  # direct, over a tandem
+        self.failure_histogram = histogram()  # from arrival to final answer of dialogs that were not established
         self.causes: Counter[str] = Counter()
-        self.by_kind: dict[int, Counter[str]] = {}
+        self.by_traffic_type: dict[int, Counter[str]] = {}
         self.gaps = 0
-        self.first = self.last = -1
+        self.first_time = self.last_time = -1
 
-    def take(self, entry: Entry) -> None:
+    def add(self, entry: Entry) -> None:
         source, now, record = entry
-        self.first = now if self.first < 0 else self.first
-        self.last = max(self.last, now)
+        self.first_time = now if self.first_time < 0 else self.first_time
+        self.last_time = max(self.last_time, now)
         code = record[0]
-        here = self.slice(source, now)
-        heard = self.heard[source]
+        time_slice = self.slice_at(source, now)
+        last_record_at = self.last_record_at[source]
         if code == "gap":
             self.gaps += 1
-        elif heard >= 0 and now - heard > 0:
-            self._quiet(source, heard, now)
-        self.heard[source] = -1 if code == "gap" else now  # what a gap held is not known to be silence
+        elif last_record_at >= 0 and now - last_record_at > 0:
+            self._add_silence(source, last_record_at, now)
+        self.last_record_at[source] = -1 if code == "gap" else now  # a gap is not known to be a silence
         if code == TICK:
-            here.beats += 1
+            time_slice.ticks += 1
         elif code == EXCHANGE_LIST_RECEIVED:
-            self._listed(here, source, now, record[2])
+            self._add_listing(time_slice, source, now, record[2])
         elif code == EXCHANGE_LIST_FAILED:
-            here.exchange_list_failed += 1
+            time_slice.exchange_list_failed += 1
         elif code == TRUNK_GROUP_REPORTED:
-            self._told(source, record[2], record[3], record[4])
+            self._set_free_circuits(source, record[2], record[3], record[4])
         elif code == DIALOG_REJECTED:
-            here.turned_away += 1
+            time_slice.turned_away += 1
         elif code == RAN_LATE:
-            here.lateness = max(here.lateness, record[2])
-        story = self.stories.take(entry)
-        if story is not None:
-            self._step(here, source, now, record, story)
-        for story in self.stories.over():
-            self._over(story)
-
-    def end(self) -> None:
-        """The trace is over: what is still open counts as such."""
-        for story in self.stories.open():
-            self._over(story)
+            time_slice.lateness = max(time_slice.lateness, record[2])
+        timeline = self.timeline_builder.add(entry)
+        if timeline is not None:
+            self._add_dialog_record(time_slice, source, now, record, timeline)
+        for timeline in self.timeline_builder.take_finished():
+            self._add_timeline(timeline)
+
+    def finish(self) -> None:
+        """Ends the trace: dialogs that are still open are counted as such."""
+        for timeline in self.timeline_builder.unfinished():
+            self._add_timeline(timeline)
 
     def all_slices(self) -> list[TimeSlice]:
-        return [one for by_begin in self.slices for _, one in sorted(by_begin.items())]
+        """All slices by source and time."""
+        return [time_slice for by_begin in self.slices for _, time_slice in sorted(by_begin.items())]
 
-    def usual(self) -> int:
-        """The median set-up of a direct dialog, in tenths of a millisecond."""
-        return round(self.set_up[True].get_value_at_percentile(50) / 100)
+    def median_setup(self) -> int:
+        """The median set-up time of a direct dialog, in tenths of a millisecond."""
+        return round(self.setup_histograms[True].get_value_at_percentile(50) / 100)
 
-    def objective(self) -> int:
-        """The shortest setup objective of any source."""
-        return min(kind[0] for source in self.sources for kind in source.figures["types"])
+    def shortest_objective(self) -> int:
+        """The shortest setup objective of any source, in tenths of a millisecond."""
+        return min(traffic_type[0] for source in self.sources for traffic_type in source.figures["types"])
 
-    def slice(self, source: int, now: int) -> TimeSlice:
-        begin = now - now % self.span
+    def slice_at(self, source: int, now: int) -> TimeSlice:
+        begin = now - now % self.interval
         found = self.slices[source].get(begin)
         if found is None:
             found = self.slices[source][begin] = TimeSlice(source, begin)
         return found
 
-    def _quiet(self, source: int, since: int, until: int) -> None:
-        """Nothing at all happened between two times: each span that it touches is told."""
+    def _add_silence(self, source: int, since: int, until: int) -> None:
+        """Enters a time without any record in each slice that it touches."""
         length = until - since
-        if length < self.span // 20:
+        if length < self.interval // 20:
             return
-        begin = since - since % self.span
+        begin = since - since % self.interval
         while begin <= until:
-            one = self.slice(source, begin)
-            one.standstill = max(one.standstill, length)
-            begin += self.span
+            time_slice = self.slice_at(source, begin)
+            time_slice.standstill = max(time_slice.standstill, length)
+            begin += self.interval
         if length >= STANDSTILL:
-            self.still_until[source] = until
+            self.standstill_ended_at[source] = until
 
-    def _listed(self, here: TimeSlice, source: int, now: int, entries: list[list[Any]]) -> None:
-        states = self.states[source]
+    def _add_listing(self, time_slice: TimeSlice, source: int, now: int, entries: list[list[Any]]) -> None:
+        states = self.exchange_states[source]
         for gw, number, state, started in entries:
             known = states.get(gw)
             if state == GwState.READY and started > 0 and (known is None or started > known[1]) and states:
-                far = here.at(number)
-                far.listed_late = max(far.listed_late, now - started)
+                stats = time_slice.destination(number)
+                stats.listing_delay = max(stats.listing_delay, now - started)
             states[gw] = (state, max(started, known[1] if known else 0))
 
-    def _told(self, source: int, gw: int, free: int, size: int) -> None:
+    def _set_free_circuits(self, source: int, gw: int, free: int, size: int) -> None:
         if size >= 0:
-            self.free[source][self.stories.numbers[source].get(gw, -1)] = free
-
-    def _step(self, here: TimeSlice, source: int, now: int, record: list[Any], story: DialogTimeline) -> None:
-        """A record of a dialog: circuits when it came, and legs that others overtake."""
-        code, key = record[0], (source, story.dialog)
-        if code == CAME:
-            if self.free[source].get(story.far, story.width) < story.width:
-                self.short[key] = True
-            if now - self.still_until[source] <= AFTER and self.still_until[source] >= 0:
-                self.short.setdefault((-1 - source, story.dialog), True)
-        elif code == SEND:
-            self.out[source].setdefault(record[2], {})[story.dialog] = now
-        elif code in (STANDS, LEG_ENDED) and story.legs:
-            leg = story.legs[-1]
-            out = self.out[source].get(leg.gw, {})
-            left = out.pop(story.dialog, None)
+            self.free_circuits[source][self.timeline_builder.exchange_numbers[source].get(gw, -1)] = free
+
+    def _add_dialog_record(self, time_slice: TimeSlice, source: int, now: int, record: list[Any], timeline: DialogTimeline) -> None:
+        """Notes from a dialog's record whether circuits were free, and which legs were overtaken by later ones."""
+        code, key = record[0], (source, timeline.dialog)
+        if code == DIALOG_RECEIVED:
+            if self.free_circuits[source].get(timeline.destination, timeline.circuits) < timeline.circuits:
+                self.marked[key] = True
+            if now - self.standstill_ended_at[source] <= STANDSTILL_AFTERMATH and self.standstill_ended_at[source] >= 0:
+                self.marked.setdefault((-1 - source, timeline.dialog), True)
+        elif code == SEND_LEG:
+            self.legs_out[source].setdefault(record[2], {})[timeline.dialog] = now
+        elif code in (DIALOG_ESTABLISHED, LEG_ENDED) and timeline.legs:
+            leg = timeline.legs[-1]
+            legs_out = self.legs_out[source].get(leg.gw, {})
+            sent_at = legs_out.pop(timeline.dialog, None)
             if code == LEG_ENDED:
-                self._told(source, record[3], record[7], record[8])
-            answered = code == STANDS or leg.how in (LegEnd.BUSY, LegEnd.FULL)
-            if left is not None and answered:
-                for dialog, sent in list(out.items()):
-                    if sent < left - OVERTAKES:
-                        del out[dialog]  # once is enough
-                        if left - sent > self.objective():
+                self._set_free_circuits(source, record[3], record[7], record[8])
+            answered = code == DIALOG_ESTABLISHED or leg.end in (LegEnd.BUSY, LegEnd.FULL)
+            if sent_at is not None and answered:
+                for dialog, earlier_sent_at in list(legs_out.items()):
+                    if earlier_sent_at < sent_at - OVERTAKING_TOLERANCE:
+                        del legs_out[dialog]  # each leg counts once
+                        if sent_at - earlier_sent_at > self.shortest_objective():
                             continue  # so long ago that another machine may answer there now
-                        self.slice(source, sent).at(leg.number).overtaken += 1
-        elif code in (DECLINE, ABORT) and self.free[source].get(story.far, story.width) < story.width:
-            self.short[key] = True
-
-    def _over(self, story: DialogTimeline) -> None:
-        here = self.slice(story.source, story.came)
-        types = self.sources[story.source].figures["types"]
-        objective, importance = types[story.kind][0], types[story.kind][3]
-        for leg in story.legs:
-            self._leg(story, leg)
-        if story.transit:
-            here.in_transit += 1
-            here.transit_refused += story.final == DECLINED
+                        self.slice_at(source, earlier_sent_at).destination(leg.exchange).overtaken += 1
+        elif (
+            code in (DECLINE, ABORT) and self.free_circuits[source].get(timeline.destination, timeline.circuits) < timeline.circuits
+        ):
+            self.marked[key] = True
+
+    def _add_timeline(self, timeline: DialogTimeline) -> None:
+        time_slice = self.slice_at(timeline.source, timeline.arrived_at)
+        types = self.sources[timeline.source].figures["types"]
+        objective, importance = types[timeline.traffic_type][0], types[timeline.traffic_type][3]
+        for leg in timeline.legs:
+            self._add_leg(timeline, leg)
+        if timeline.transit:
+            time_slice.in_transit += 1
+            time_slice.transit_refused += timeline.outcome == DECLINED
             return
-        here.came += 1
-        here.worth += importance
-        short = self.short.pop((story.source, story.dialog), False)
-        still = self.short.pop((-1 - story.source, story.dialog), False)
-        far = here.at(story.far)
-        far.asked += 1
-        busy = story.legs and story.legs[-1].how == LegEnd.BUSY or story.final == GIVEN_UP and story.took < objective
-        if (story.final != ESTABLISHED or story.took > objective) and not busy:  # lines in use and short tempers are nobody's fault
-            far.lost += 1
-            far.lost_full += short
-            far.lost_kept += not short and not story.legs and not story.redialled  # redials are judged, full or not
-            far.lost_silent += not short and bool(story.legs) and story.legs[-1].how != LegEnd.FULL
-            here.after_standstill += still or here.standstill >= STANDSTILL
-        kind = self.by_kind.setdefault(story.kind, Counter())
-        kind["came"] += 1
-        cause = story.cause()
+        time_slice.arrived += 1
+        time_slice.importance_offered += importance
+        no_circuit = self.marked.pop((timeline.source, timeline.dialog), False)
+        standstill = self.marked.pop((-1 - timeline.source, timeline.dialog), False)
+        stats = time_slice.destination(timeline.destination)
+        stats.dialogs += 1
+        caller_side = (
+            timeline.legs
+            and timeline.legs[-1].end == LegEnd.BUSY
+            or timeline.outcome == GIVEN_UP
+            and timeline.final_answer_delay < objective
+        )
+        # Busy lines and callers that give up before the setup objective are not failures of the network.
+        if (timeline.outcome != ESTABLISHED or timeline.final_answer_delay > objective) and not caller_side:
+            stats.lost += 1
+            stats.lost_no_circuit += no_circuit
+            # A redial may be refused by admission control whether circuits are free or not.
+            stats.lost_held_back += not no_circuit and not timeline.legs and not timeline.redialled
+            stats.lost_unanswered += not no_circuit and bool(timeline.legs) and timeline.legs[-1].end != LegEnd.FULL
+            time_slice.lost_after_standstill += standstill or time_slice.standstill >= STANDSTILL
+        counts = self.by_traffic_type.setdefault(timeline.traffic_type, Counter())
+        counts["came"] += 1
+        cause = timeline.failure_cause()
         if cause:
             self.causes[cause] += 1
-            here.causes[cause] += 1
-            kind[story.final if story.final != ESTABLISHED else "cut"] += 1
-        if story.final == ESTABLISHED:
-            here.stood += 1
-            kind["stood"] += 1
-            if story.took > objective:
-                here.late += 1
-                kind["late"] += 1
+            time_slice.causes[cause] += 1
+            counts[timeline.outcome if timeline.outcome != ESTABLISHED else "cut"] += 1
+        if timeline.outcome == ESTABLISHED:
+            time_slice.established += 1
+            counts["stood"] += 1
+            if timeline.final_answer_delay > objective:
+                time_slice.late += 1
+                counts["late"] += 1
             else:
-                here.earned += importance
-                kind["in time"] += 1
-            direct = story.legs[-1].number == story.far if story.legs else True
-            self.set_up[direct].record_value(min(LONGEST, max(1, story.took * 100)))
+                time_slice.importance_served += importance
+                counts["in time"] += 1
+            direct = timeline.legs[-1].exchange == timeline.destination if timeline.legs else True
+            self.setup_histograms[direct].record_value(min(MAX_DURATION_US, max(1, timeline.final_answer_delay * 100)))
             return
-        here.declined += story.final == DECLINED
-        here.given_up += story.final == GIVEN_UP
-        here.aborted += story.final == "aborted"
-        here.no_leg += not story.legs
-        if story.took >= 0:
-            self.answered.record_value(min(LONGEST, max(1, story.took * 100)))
-
-    def _leg(self, story: DialogTimeline, leg: Leg) -> None:
-        far = self.slice(story.source, leg.sent).at(leg.number)
-        far.legs += 1
-        if leg.stood >= 0:
-            far.stood += 1
-            if leg.number == story.far:
-                far.set_ups.append(leg.set_up)
-            if leg.how == LegEnd.CUT:
-                far.ends[leg.how] += 1
-        elif leg.how is not None:
-            far.ends[leg.how] += 1
-            if leg.how == LegEnd.FULL:
-                far.refused[leg.rsn if leg.rsn in set(Rsn) else Rsn.PROCESSOR_FULL] += 1
+        time_slice.declined += timeline.outcome == DECLINED
+        time_slice.given_up += timeline.outcome == GIVEN_UP
+        time_slice.aborted += timeline.outcome == "aborted"
+        time_slice.no_leg += not timeline.legs
+        if timeline.final_answer_delay >= 0:
+            self.failure_histogram.record_value(min(MAX_DURATION_US, max(1, timeline.final_answer_delay * 100)))
+
+    def _add_leg(self, timeline: DialogTimeline, leg: LegTimeline) -> None:
+        stats = self.slice_at(timeline.source, leg.sent_at).destination(leg.exchange)
+        stats.legs += 1
+        if leg.established_at >= 0:
+            stats.established += 1
+            if leg.exchange == timeline.destination:
+                stats.setup_durations.append(leg.setup_duration)
+            if leg.end == LegEnd.CUT:
+                stats.ends[leg.end] += 1
+        elif leg.end is not None:
+            stats.ends[leg.end] += 1
+            if leg.end == LegEnd.FULL:
+                stats.refusals[leg.rsn if leg.rsn in set(Rsn) else Rsn.PROCESSOR_FULL] += 1
--- a/gingergap/trace/timeline.py
+++ b/gingergap/trace/timeline.py
@@ -1,6 +1,7 @@
-"""What became of each dialog, put together from a trace's entries: arrival, legs, waits, the final answer, the end.
+"""Reconstructs each dialog from a trace's entries: arrival, legs, waits, final answer and end.
 
-Pure: entries go in in order, stories come out when a dialog is over. Memory holds the dialogs that are not over.
+Entries are added in order, and timelines come out once a dialog has ended. Memory holds the dialogs that are still open.
+No I/O. Times are tenths of a millisecond.
 """
 
 from collections.abc import Iterator
@@ -10,7 +11,7 @@
 from .format import CODES, FIRST_NOTE, Header, Source
 from .stream import Entry, Trace
 
-(EXCHANGE_LIST_RECEIVED, CAME, STANDS, LEG_ENDED, GONE, SEND, DECLINE, ABORT) = (
+(EXCHANGE_LIST_RECEIVED, DIALOG_RECEIVED, DIALOG_ESTABLISHED, LEG_ENDED, DIALOG_CANCELLED, SEND_LEG, DECLINE, ABORT) = (
     CODES[name]
     for name in (
         "exchange_list_received",
@@ -23,206 +24,240 @@
         "abort",
     )
 )
-SENT, CAME_BY = CODES["sent"], CODES["received"]
+MESSAGE_SENT, MESSAGE_RECEIVED = CODES["sent"], CODES["received"]
 ESTABLISHED, DECLINED, ABORTED, GIVEN_UP, OPEN = "stood", "declined", "aborted", "given up", "open"
 
 
-class Leg:
-    """One leg: `number` is that of the exchange it went to, -1 where the list never told. Times in tenths of a
-    millisecond; `ended` -1 while it is out, `stood` -1 where it never did."""
+class LegTimeline:
+    """One leg. `exchange` is the number of the exchange it went to, -1 if the list never named it.
 
-    __slots__ = ("gw", "number", "sent", "limit", "stood", "ended", "how", "rsn", "free", "size", "place", "crossing")
+    `ended_at` is -1 while the leg is out, `established_at` -1 if it was never established.
+    """
 
-    def __init__(self, gw: int, number: int, sent: int, limit: int, place: int) -> None:
-        self.gw, self.number, self.sent, self.limit, self.place = gw, number, sent, limit, place
-        self.stood = self.ended = -1
-        self.how: LegEnd | None = None
+    __slots__ = (
+        "gw",
+        "exchange",
+        "sent_at",
+        "limit",
+        "established_at",
+        "ended_at",
+        "end",
+        "rsn",
+        "free",
+        "size",
+        "record_index",
+        "message_id",
+    )
+
+    def __init__(self, gw: int, exchange: int, sent_at: int, limit: int, record_index: int) -> None:
+        self.gw, self.exchange, self.sent_at, self.limit, self.record_index = gw, exchange, sent_at, limit, record_index
+        self.established_at = self.ended_at = -1
+        self.end: LegEnd | None = None
         self.rsn, self.free, self.size = 0, -1, -1
-        self.crossing = b""  # the id under which the other side knows it
+        self.message_id = b""  # by which the trace of the proxy that received it names it
 
     @property
-    def set_up(self) -> int:
-        """How long the leg was out unanswered, -1 while it is."""
-        over = self.stood if self.stood >= 0 else self.ended
-        return over - self.sent if over >= 0 else -1
+    def setup_duration(self) -> int:
+        """Time from sending the leg to its establishment or end, -1 while it is out unanswered."""
+        answered_at = self.established_at if self.established_at >= 0 else self.ended_at
+        return answered_at - self.sent_at if answered_at >= 0 else -1
 
 
 class DialogTimeline:
-    """One dialog. `place` is where its arrival stands among all records."""
+    """One dialog. `record_index` is the index of its arrival among all records of the trace."""
 
     __slots__ = (
         "source",
         "dialog",
-        "kind",
-        "far",
-        "width",
+        "traffic_type",
+        "destination",
+        "circuits",
         "number",
         "transit",
         "redialled",
-        "came",
-        "expires",
-        "place",
+        "arrived_at",
+        "expires_at",
+        "record_index",
         "legs",
-        "final",
+        "outcome",
         "final_at",
-        "ended",
-        "last",
-        "crossing",
+        "ended_at",
+        "last_record_at",
+        "message_id",
         "hold_off",
     )
 
-    def __init__(self, source: int, place: int, record: list[Any]) -> None:
-        (_, self.came, self.dialog, self.kind, self.far, self.width, self.number, expires_in, self.transit, self.redialled, *_) = (
-            record
-        )
-        self.source, self.place = source, place
-        self.expires = self.came + expires_in
-        self.legs: list[Leg] = []
-        self.final, self.final_at, self.ended, self.last = OPEN, -1, -1, self.came
-        self.crossing = b""  # of the leg of another proxy that it came by
+    def __init__(self, source: int, record_index: int, record: list[Any]) -> None:
+        (
+            _,
+            self.arrived_at,
+            self.dialog,
+            self.traffic_type,
+            self.destination,
+            self.circuits,
+            self.number,
+            expires_in,
+            self.transit,
+            self.redialled,
+            *_,
+        ) = record
+        self.source, self.record_index = source, record_index
+        self.expires_at = self.arrived_at + expires_in
+        self.legs: list[LegTimeline] = []
+        self.outcome, self.final_at, self.ended_at, self.last_record_at = OPEN, -1, -1, self.arrived_at
+        self.message_id = b""  # of the leg of another proxy by which it arrived
         self.hold_off = 0
 
-    def touches(self, number: int) -> bool:
-        return self.far == number or any(leg.number == number for leg in self.legs)
+    def involves(self, exchange: int) -> bool:
+        """Whether the exchange is the destination or the dialog had a leg to it."""
+        return self.destination == exchange or any(leg.exchange == exchange for leg in self.legs)
 
     @property
-    def took(self) -> int:
-        """From arrival to final answer, -1 without one."""
-        return self.final_at - self.came if self.final_at >= 0 else -1
+    def final_answer_delay(self) -> int:
+        """Time from arrival to final answer, -1 without one."""
+        return self.final_at - self.arrived_at if self.final_at >= 0 else -1
 
     def waits(self) -> list[tuple[int, int]]:
-        """Spans without a leg out and without an answer: first and last time of each."""
-        found, at = [], self.came
+        """First and last time of each period before the final answer in which no leg was out."""
+        found, begin = [], self.arrived_at
         for leg in self.legs:
-            if leg.sent > at:
-                found.append((at, leg.sent))
-            at = leg.ended if leg.ended >= 0 and leg.stood < 0 else self.final_at if self.final_at >= 0 else self.last
-        end = self.final_at if self.final_at >= 0 else self.last
-        if end > at:
-            found.append((at, end))
+            if leg.sent_at > begin:
+                found.append((begin, leg.sent_at))
+            begin = (
+                leg.ended_at
+                if leg.ended_at >= 0 and leg.established_at < 0
+                else self.final_at
+                if self.final_at >= 0
+                else self.last_record_at
+            )
+        end = self.final_at if self.final_at >= 0 else self.last_record_at
+        if end > begin:
+            found.append((begin, end))
         return found
 
-    def cause(self) -> str:
-        """Why it did not stand, as its own records tell."""
-        if self.final == ESTABLISHED:
-            return "cut" if self.legs and self.legs[-1].how == LegEnd.CUT else ""
-        if self.final == GIVEN_UP:
+    def failure_cause(self) -> str:
+        """Why the dialog failed as far as its own records tell; empty if it did not."""
+        if self.outcome == ESTABLISHED:
+            return "cut" if self.legs and self.legs[-1].end == LegEnd.CUT else ""
+        if self.outcome == GIVEN_UP:
             return "given up by the caller"
-        if self.final == OPEN:
+        if self.outcome == OPEN:
             return "still open"
         last = self.legs[-1] if self.legs else None
         if last is None:
             return "no leg: refused in transit" if self.transit else "no leg: no way free in time"
-        if last.how is None:
+        if last.end is None:
             return "time was up with a leg out"
-        if last.how == LegEnd.FULL:
+        if last.end == LegEnd.FULL:
             return f"full: {Rsn(last.rsn).name.lower().replace('_', ' ')}" if last.rsn in set(Rsn) else f"full: {last.rsn}"
-        return last.how.name.lower().replace("_", " ")
+        return last.end.name.lower().replace("_", " ")
 
 
 class TimelineBuilder:
-    """Reads entries in order. `numbers` holds, for each source, which exchange number a gw has."""
+    """Builds timelines from entries in order. `exchange_numbers` maps, for each source, a gw to its exchange number."""
 
     def __init__(self, sources: list[Source] | list[Header]) -> None:
         self.sources = sources
-        self.numbers: list[dict[int, int]] = [{} for _ in sources]
-        self.held: dict[tuple[int, int], DialogTimeline] = {}
-        self.done: list[DialogTimeline] = []
-        self.came_by: dict[tuple[int, int], bytes] = {}  # a dialog's crossing is told just before it comes
-        self.place = 0  # of the next record among all; gaps are none
-        self.here = [source.figures.get("here", -1) for source in sources]
-
-    def take(self, entry: Entry) -> DialogTimeline | None:
-        """One entry; the story that it belongs to, if any."""
+        self.exchange_numbers: list[dict[int, int]] = [{} for _ in sources]
+        self.open_dialogs: dict[tuple[int, int], DialogTimeline] = {}  # by (source, dialog)
+        self.finished: list[DialogTimeline] = []
+        self.arrival_ids: dict[tuple[int, int], bytes] = {}  # message ids: their notes precede the dialogs' arrivals
+        self.record_index = 0  # of the next record among all; gaps do not count
+        self.own_exchanges = [source.figures.get("here", -1) for source in sources]
+
+    def add(self, entry: Entry) -> DialogTimeline | None:
+        """Adds an entry; returns the timeline it belongs to, if any."""
         source, now, record = entry
         code = record[0]
         if code == "gap":
-            self._lost(source)
+            self._finish_all(source)
             return None
-        place = self.place
-        self.place += 1
-        if code == CAME:
-            story = self.held[source, record[2]] = DialogTimeline(source, place, [code, now, *record[2:]])
-            story.crossing = self.came_by.pop((source, record[2]), b"")
-            return story
+        record_index = self.record_index
+        self.record_index += 1
+        if code == DIALOG_RECEIVED:
+            timeline = self.open_dialogs[source, record[2]] = DialogTimeline(source, record_index, [code, now, *record[2:]])
+            timeline.message_id = self.arrival_ids.pop((source, record[2]), b"")
+            return timeline
         if code == EXCHANGE_LIST_RECEIVED:
             for gw, number, _, _ in record[2]:
-                self.numbers[source][gw] = number
+                self.exchange_numbers[source][gw] = number
             return None
-        if code not in KNOWN:
+        if code not in TIMELINE_CODES:
             return None
-        at = 1 if code in (SEND, DECLINE, ABORT) else 3 if code >= FIRST_NOTE else 2
-        story = self.held.get((source, record[at]))
-        if story is None and code == CAME_BY and record[3] >= 0:
-            self.came_by[source, record[3]] = record[2]
-            if len(self.came_by) > 1000:  # of dialogs whose arrival was lost
-                del self.came_by[next(iter(self.came_by))]
-        if story is None:
+        field = 1 if code in (SEND_LEG, DECLINE, ABORT) else 3 if code >= FIRST_NOTE else 2
+        timeline = self.open_dialogs.get((source, record[field]))
+        if timeline is None and code == MESSAGE_RECEIVED and record[3] >= 0:
+            self.arrival_ids[source, record[3]] = record[2]
+            if len(self.arrival_ids) > 1000:  # those left over belong to dialogs whose arrival was lost
+                del self.arrival_ids[next(iter(self.arrival_ids))]
+        if timeline is None:
             return None
-        story.last = now
-        if code == SEND:
+        timeline.last_record_at = now
+        if code == SEND_LEG:
             gw = record[2]
-            story.legs.append(Leg(gw, self.numbers[source].get(gw, -1), now, record[3], place))
-        elif code == STANDS:
-            if story.legs:
-                story.legs[-1].stood = now
-            story.final, story.final_at = ESTABLISHED, now
+            timeline.legs.append(LegTimeline(gw, self.exchange_numbers[source].get(gw, -1), now, record[3], record_index))
+        elif code == DIALOG_ESTABLISHED:
+            if timeline.legs:
+                timeline.legs[-1].established_at = now
+            timeline.outcome, timeline.final_at = ESTABLISHED, now
         elif code == LEG_ENDED:
-            self._leg_ended(story, now, record)
+            self._end_leg(timeline, now, record)
         elif code == DECLINE:
-            story.hold_off = record[2]
-            self._final(story, DECLINED, now)
+            timeline.hold_off = record[2]
+            self._set_outcome(timeline, DECLINED, now)
         elif code == ABORT:
-            self._final(story, ABORTED, now)
-        elif code == GONE:
-            self._final(story, GIVEN_UP, now)
-        elif code == SENT and not story.transit and story.legs and not story.legs[-1].crossing:
-            story.legs[-1].crossing = record[2]  # in transit it is the answer that was sent
-        return story
-
-    def over(self) -> Iterator[DialogTimeline]:
-        """The stories that have come to an end since the last asking."""
-        done, self.done = self.done, []
-        yield from done
-
-    def open(self) -> Iterator[DialogTimeline]:
-        """Those that have not, at the end of the trace."""
-        yield from self.held.values()
-
-    def _leg_ended(self, story: DialogTimeline, now: int, record: list[Any]) -> None:
-        _, _, _, gw, how, rsn, _, free, size = record
-        for leg in reversed(story.legs):
-            if leg.gw == gw and leg.how is None:
-                leg.how, leg.rsn, leg.free, leg.size, leg.ended = LegEnd(how), rsn, free, size, now
+            self._set_outcome(timeline, ABORTED, now)
+        elif code == DIALOG_CANCELLED:
+            self._set_outcome(timeline, GIVEN_UP, now)
+        elif code == MESSAGE_SENT and not timeline.transit and timeline.legs and not timeline.legs[-1].message_id:
+            timeline.legs[-1].message_id = record[2]  # in transit the message that was sent is the answer
+        return timeline
+
+    def take_finished(self) -> Iterator[DialogTimeline]:
+        """The timelines that have ended since the last call."""
+        finished, self.finished = self.finished, []
+        yield from finished
+
+    def unfinished(self) -> Iterator[DialogTimeline]:
+        """The timelines still open at the end of the trace."""
+        yield from self.open_dialogs.values()
+
+    def _end_leg(self, timeline: DialogTimeline, now: int, record: list[Any]) -> None:
+        _, _, _, gw, end, rsn, _, free, size = record
+        for leg in reversed(timeline.legs):
+            if leg.gw == gw and leg.end is None:
+                leg.end, leg.rsn, leg.free, leg.size, leg.ended_at = LegEnd(end), rsn, free, size, now
                 break
-        if story.final == ESTABLISHED:
-            story.ended = now
-        if story.final != OPEN and all(leg.how is not None for leg in story.legs):
-            self._close(story)
+        if timeline.outcome == ESTABLISHED:
+            timeline.ended_at = now
+        if timeline.outcome != OPEN and all(leg.end is not None for leg in timeline.legs):
+            self._finish(timeline)
 
-    def _final(self, story: DialogTimeline, how: str, now: int) -> None:
-        if story.final == OPEN:
-            story.final, story.final_at = how, now
-        if all(leg.how is not None for leg in story.legs):
-            self._close(story)
+    def _set_outcome(self, timeline: DialogTimeline, outcome: str, now: int) -> None:
+        if timeline.outcome == OPEN:
+            timeline.outcome, timeline.final_at = outcome, now
+        if all(leg.end is not None for leg in timeline.legs):
+            self._finish(timeline)
 
-    def _close(self, story: DialogTimeline) -> None:
-        if self.held.pop((story.source, story.dialog), None) is not None:
-            self.done.append(story)
+    def _finish(self, timeline: DialogTimeline) -> None:
+        if self.open_dialogs.pop((timeline.source, timeline.dialog), None) is not None:
+            self.finished.append(timeline)
 
-    def _lost(self, source: int) -> None:
-        """A gap may have held the end of any dialog: those before it are given out as they stand."""
-        for key in [key for key in self.held if key[0] == source]:
-            self.done.append(self.held.pop(key))
+    def _finish_all(self, source: int) -> None:
+        """Finishes a source's dialogs as they are: a gap may contain the end of any of them."""
+        for key in [key for key in self.open_dialogs if key[0] == source]:
+            self.finished.append(self.open_dialogs.pop(key))
 
 
 def dialog_timelines(trace: Trace) -> Iterator[DialogTimeline]:
-    """Each dialog of a trace once, as it comes to its end or the trace does."""
-    stories = TimelineBuilder(trace.sources)
+    """Each dialog of a trace once, when it ends or at the end of the trace."""
+    builder = TimelineBuilder(trace.sources)
     for entry in trace.entries():
-        stories.take(entry)
-        yield from stories.over()
-    yield from stories.open()
+        builder.add(entry)
+        yield from builder.take_finished()
+    yield from builder.unfinished()
 
 
-KNOWN = frozenset({STANDS, LEG_ENDED, GONE, SEND, DECLINE, ABORT, SENT, CAME_BY})
+TIMELINE_CODES = frozenset(
+    {DIALOG_ESTABLISHED, LEG_ENDED, DIALOG_CANCELLED, SEND_LEG, DECLINE, ABORT, MESSAGE_SENT, MESSAGE_RECEIVED}
+)
--- a/tests/test_trace_tap.py
+++ b/tests/test_trace_tap.py
@@ -1,4 +1,4 @@
-"""The recorded wire of a bench run as traces."""
+"""Conversion of a bench run's wire capture to traces."""
 
 import io
 import json
@@ -11,17 +11,17 @@
 from gingergap.cli.main import main
 from gingergap.trace.format import BadTraceError
 from gingergap.trace.stream import open_traces
-from gingergap.trace.tap import batches, converted
 from gingergap.trace.timeline import dialog_timelines
+from gingergap.trace.wire_capture import convert_wire_capture, read_batches
 
 
-def wire(path, *played):
-    """A recorded wire: each batch with the adapter's own reply to it."""
+def write_capture(path, *batches):
+    """Writes a capture: each batch with the adapter's own reply to it."""
     out, lines = io.StringIO(), []
-    stream = iter(played)
+    remaining = iter(batches)
 
-    def asked():
-        for batch in stream:
+    def input_lines():
+        for batch in remaining:
             lines.append(f">> process 0, {len(batch)} bytes")
             for msg in batch:
                 lines.append(json.dumps(msg))
@@ -32,13 +32,13 @@
             lines.append(f"<< process 0, {len(text)} bytes")
             lines.extend(text.splitlines())
 
-    serve(asked(), out)
+    serve(input_lines(), out)
     path.write_text("\n".join(lines) + "\n")
     return path
 
 
-def day(restart=False):
-    batches_ = [[TICK, SPAWN, *LIST, END]]
+def make_batches(restart=False):
+    batches = [[TICK, SPAWN, *LIST, END]]
     for number in range(20):
         at = TICK["Time"] + number * 30_000
         events = [{**KNOCK, "Rid": 100 + number}, {"t": "Elapsed", "Proxy": "proxy_0", "Cookie": "beat"}]
@@ -46,37 +46,37 @@
             events.append({"t": "Headers", "Proxy": "proxy_0", "Rid": 100 + number, "Switch": "switch.a", "TimeTaken": 15_000})
         if number == 10 and restart:
             events = [{"t": "Stop", "Proxy": "proxy_0"}, SPAWN, *LIST]
-        batches_.append([{"t": "Tick", "Time": at}, *events, END])
-    return batches_
+        batches.append([{"t": "Tick", "Time": at}, *events, END])
+    return batches
 
 
-def test_a_wire_becomes_a_trace_that_replays_and_tells_its_dialogs(tmp_path):
-    done = converted(wire(tmp_path / "tap", *day()), tmp_path / "out")
-    assert done.differ == 0 and done.batches == done.replies == 21
+def test_a_capture_converts_to_a_trace_that_replays(tmp_path):
+    done = convert_wire_capture(write_capture(tmp_path / "tap", *make_batches()), tmp_path / "out")
+    assert done.different == 0 and done.batches == done.replies == 21
     (trace,) = open_traces([tmp_path / "out"])
-    stories = list(dialog_timelines(trace))
-    assert len(stories) == 20 and sum(story.final == "stood" for story in stories) == 7
+    timelines = list(dialog_timelines(trace))
+    assert len(timelines) == 20 and sum(timeline.outcome == "stood" for timeline in timelines) == 7
     result = CliRunner().invoke(main, ["trace", "replay", str(tmp_path / "out")])
     assert result.exit_code == 0 and "all alike" in result.output
 
 
-def test_a_proxy_that_starts_again_is_a_trace_of_its_own(tmp_path):
-    converted(wire(tmp_path / "tap", *day(restart=True)), tmp_path / "out")
+def test_a_restarted_proxy_gets_a_trace_of_its_own(tmp_path):
+    convert_wire_capture(write_capture(tmp_path / "tap", *make_batches(restart=True)), tmp_path / "out")
     assert [trace.header.epoch for trace in open_traces([tmp_path / "out"])] == ["0000", "0001"]
 
 
-def test_replies_of_another_version_end_the_conversion_and_are_told(tmp_path):
-    path = wire(tmp_path / "tap", *day())
+def test_a_differing_reply_ends_the_conversion_and_is_reported(tmp_path):
+    path = write_capture(tmp_path / "tap", *make_batches())
     text = path.read_text().replace('"Rid":107,"Switch"', '"Rid":107,"Elsewhere"')
     path.write_text(text)
     result = CliRunner().invoke(main, ["trace", "from-tap", str(path), "--out", str(tmp_path / "out")])
     assert result.exit_code == 1 and "1 differ" in result.output and "Elsewhere" in result.output
     (trace,) = open_traces([tmp_path / "out"])
-    assert len(list(dialog_timelines(trace))) == 7  # up to the batch before
+    assert len(list(dialog_timelines(trace))) == 7  # the batches before the difference
 
 
 @pytest.mark.parametrize(
-    ("text", "words"),
+    ("text", "message"),
     [
         ("not a wire\n", "line 1: no recorded wire"),
         (">> process 0, 3 bytes\n{}\n", "line 2"),
@@ -85,13 +85,13 @@
         ("", "no proxy"),
     ],
 )
-def test_what_is_no_wire_is_refused_naming_the_line(tmp_path, text, words):
+def test_invalid_captures_are_refused_with_the_line_number(tmp_path, text, message):
     path = tmp_path / "tap"
     path.write_text(text)
-    with pytest.raises(BadTraceError, match=words):
-        converted(path, tmp_path / "out")
+    with pytest.raises(BadTraceError, match=message):
+        convert_wire_capture(path, tmp_path / "out")
 
 
-def test_a_missing_file_is_a_line(tmp_path):
+def test_a_missing_file_is_reported_as_bad_trace(tmp_path):
     with pytest.raises(BadTraceError, match="No such file"):
-        list(batches(tmp_path / "none"))
+        list(read_batches(tmp_path / "none"))
