--- a/tests/test_trace_tools.py
+++ b/tests/test_trace_tools.py
@@ -1,4 +1,4 @@
-"""Tools on traces: cut, merge, anonymise, compare, diff; each on the tape of a proxy that has served calls of all kinds."""
+"""Tools for traces: cut, merge, anonymise, compare, diff; each on the trace of a proxy that has served calls of all kinds."""
 
 import itertools
 import random
@@ -8,97 +8,97 @@
 from click.testing import CliRunner
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from test_trace import busy, replayed, written  # noqa: F401 - busy is a fixture
+from test_trace import recorded_run, replay_records, write_trace  # noqa: F401 - busy is a fixture
 
 from gingergap import call_controller
 from gingergap.cli.main import main
 from gingergap.trace import format as trace_format
-from gingergap.trace.anonymise import Numbers, anonymise, own_words
-from gingergap.trace.clocks import Way, binding, estimate
-from gingergap.trace.compare import compare, kinds_of, module_at
-from gingergap.trace.copy import Copy
-from gingergap.trace.cut import cut, span_of
-from gingergap.trace.difference import difference
+from gingergap.trace.anonymise import NumberCipher, anonymise, module_strings
+from gingergap.trace.clocks import DirectedDelays, binding_points, estimate_clocks
+from gingergap.trace.compare import classify_differences, compare, module_at
+from gingergap.trace.cut import cut, resolve_selection
+from gingergap.trace.diff import diff_traces
+from gingergap.trace.entry_writer import EntryWriter
 from gingergap.trace.format import CODES, FIRST_ACTION, FIRST_NOTE, FORMAT, SNAPSHOT, BadTraceError, Header
-from gingergap.trace.merge import merge, order
+from gingergap.trace.merge import count_reordered, merge
+from gingergap.trace.query import dialog_of
 from gingergap.trace.replay import Replay, replay
 from gingergap.trace.snapshot import freeze, state_of
 from gingergap.trace.stream import Entry, open_traces
 from gingergap.trace.timeline import ESTABLISHED, dialog_timelines
-from gingergap.trace.window import dialog_of
 
-TICK, SENT, CAME = CODES["tick"], CODES["sent"], CODES["received"]
+TICK, SENT, RECEIVED = CODES["tick"], CODES["sent"], CODES["received"]
 
 
-def with_states(header, records, every):
-    """The same records with the module's state before every so many events."""
-    behind, found, events = Replay(header), [], 0
+def insert_snapshots(header, records, every):
+    """The same records, with a snapshot of the module's state before every `every`th event."""
+    shadow, result, events = Replay(header), [], 0
     for record in records:
         if record[0] < FIRST_ACTION:
             events += 1
             if events % every == 0:
-                found.append([SNAPSHOT, record[1], freeze(behind.controller)])
-        behind.take(record)
-        found.append(record)
-    return found
+                result.append([SNAPSHOT, record[1], freeze(shadow.controller)])
+        shadow.take(record)
+        result.append(record)
+    return result
 
 
 @pytest.fixture
-def long(busy, tmp_path):  # noqa: F811
-    """A trace with states in it, in blocks of a hundred records."""
-    buffer, header = busy
-    records = with_states(header, buffer.records, 60)
-    return open_traces([written(tmp_path, header, records, each=100, name="long.trace")])[0]
+def long_trace(recorded_run, tmp_path):  # noqa: F811
+    """A trace with snapshots, in blocks of a hundred records."""
+    buffer, header = recorded_run
+    records = insert_snapshots(header, buffer.records, 60)
+    return open_traces([write_trace(tmp_path, header, records, block_records=100, name="long.trace")])[0]
 
 
-def all_alike(path):
+def replay_all(path):
     (trace,) = open_traces([Path(path)])
-    done = replay(trace.sources, trace.entries(), trace.whole)
-    assert all(one.difference is None for one in done), [one.difference for one in done]
-    return trace, done
+    replays = replay(trace.sources, trace.entries(), trace.from_start)
+    assert all(run.difference is None for run in replays), [run.difference for run in replays]
+    return trace, replays
 
 
 # --- cut ---
 
 
-def test_a_window_is_replayed_by_itself_from_the_state_before_it(long, tmp_path):
-    first, last = long.places()[0].stretch.first, long.places()[-1].stretch.last
+def test_a_cut_window_replays_from_the_snapshot_before_it(long_trace, tmp_path):
+    first, last = long_trace.block_locations()[0].summary.first_time, long_trace.block_locations()[-1].summary.last_time
     low, high = first + (last - first) // 2, first + (last - first) * 3 // 4
-    cut(long, span_of(long, low, high, frozenset(), None), tmp_path / "cut.trace")
-    trace, (done,) = all_alike(tmp_path / "cut.trace")
-    assert trace.header.window == (low, high) and not trace.whole and done.resumed == 1 and done.gaps == 0
+    cut(long_trace, resolve_selection(long_trace, low, high, frozenset(), None), tmp_path / "cut.trace")
+    trace, (done,) = replay_all(tmp_path / "cut.trace")
+    assert trace.header.window == (low, high) and not trace.from_start and done.resumed == 1 and done.gaps == 0
     entries = list(trace.entries())
-    whole = list(long.entries())
-    assert 0 < len(entries) < len(whole) and done.actions > 10
-    inside = [entry for entry in whole if low <= entry.now <= high]
-    assert [entry for entry in entries if entry.now >= low] == inside
+    all_entries = list(long_trace.entries())
+    assert 0 < len(entries) < len(all_entries) and done.actions > 10
+    inside = [entry for entry in all_entries if low <= entry.time <= high]
+    assert [entry for entry in entries if entry.time >= low] == inside
 
 
 @given(share=st.floats(0, 1), length=st.floats(0, 0.3))
 @settings(max_examples=25, derandomize=True, deadline=None)
-def test_any_window_holds_what_happened_in_it_and_replays(long_once, share, length):
-    trace, folder = long_once
-    first, last = trace.places()[0].stretch.first, trace.places()[-1].stretch.last
+def test_any_window_holds_exactly_its_entries_and_replays(shared_long_trace, share, length):
+    trace, folder = shared_long_trace
+    first, last = trace.block_locations()[0].summary.first_time, trace.block_locations()[-1].summary.last_time
     low = first + int((last - first) * share)
     high = min(last, low + int((last - first) * length))
     path = folder / "cut.trace"
     path.unlink(missing_ok=True)
-    cut(trace, span_of(trace, low, high, frozenset(), None), path)
-    cutting, (done,) = all_alike(path)
-    assert done.passed_over == sum(
-        entry.now < low and entry.record[0] < FIRST_ACTION
-        for entry in itertools.takewhile(lambda one: one.record[0] != SNAPSHOT, cutting.entries())
-    ) * (not cutting.whole)
-    assert [entry for entry in cutting.entries() if entry.now >= low] == [
-        entry for entry in trace.entries() if low <= entry.now <= high
+    cut(trace, resolve_selection(trace, low, high, frozenset(), None), path)
+    cut_trace, (done,) = replay_all(path)
+    assert done.skipped_events == sum(
+        entry.time < low and entry.record[0] < FIRST_ACTION
+        for entry in itertools.takewhile(lambda entry: entry.record[0] != SNAPSHOT, cut_trace.entries())
+    ) * (not cut_trace.from_start)
+    assert [entry for entry in cut_trace.entries() if entry.time >= low] == [
+        entry for entry in trace.entries() if low <= entry.time <= high
     ]
 
 
 @pytest.fixture(scope="module")
-def long_once(tmp_path_factory):
-    """The same as `long`, made once for a property."""
+def shared_long_trace(tmp_path_factory):
+    """The same as `long_trace`, built once for all examples of a property test."""
     import conftest
-    from test_trace import busy as fixture
+    from test_trace import recorded_run as fixture
 
     folder = tmp_path_factory.mktemp("long")
     patch = pytest.MonkeyPatch()
@@ -106,76 +106,80 @@
         buffer, header = fixture.__wrapped__(conftest.peers_of.__wrapped__(), patch)
     finally:
         patch.undo()
-    return open_traces([written(folder, header, with_states(header, buffer.records, 60), each=100, name="long.trace")])[0], folder
-
-
-def test_two_windows_that_split_a_dialog_both_replay(long, tmp_path):
-    story = max(dialog_timelines(long), key=lambda one: one.last - one.came)
-    middle = (story.came + story.last) // 2
-    assert story.came < middle < story.last
-    heard = []
-    for name, low, high in (("a", story.came, middle), ("b", middle + 1, story.last)):
-        cut(long, span_of(long, low, high, frozenset(), None), tmp_path / f"{name}.trace")
-        trace, (done,) = all_alike(tmp_path / f"{name}.trace")
+    return open_traces(
+        [write_trace(folder, header, insert_snapshots(header, buffer.records, 60), block_records=100, name="long.trace")]
+    )[0], folder
+
+
+def test_two_windows_that_split_a_dialog_both_replay(long_trace, tmp_path):
+    timeline = max(dialog_timelines(long_trace), key=lambda timeline: timeline.last_record_at - timeline.arrived_at)
+    middle = (timeline.arrived_at + timeline.last_record_at) // 2
+    assert timeline.arrived_at < middle < timeline.last_record_at
+    found = []
+    for name, low, high in (("a", timeline.arrived_at, middle), ("b", middle + 1, timeline.last_record_at)):
+        cut(long_trace, resolve_selection(long_trace, low, high, frozenset(), None), tmp_path / f"{name}.trace")
+        trace, (done,) = replay_all(tmp_path / f"{name}.trace")
         assert done.actions > 0
-        heard += [entry for entry in trace.entries() if low <= entry.now <= high and dialog_of(entry) == story.dialog]
-    whole = [entry for entry in long.entries() if dialog_of(entry) == story.dialog]
-    assert heard == whole and len(whole) > 2
-    here = {one.dialog: one for one in dialog_timelines(open_traces([tmp_path / "a.trace"])[0])}
-    assert here[story.dialog].final == "open"
-
-
-def test_dialogs_and_far_ends_are_cut_out_with_the_whole_of_their_lives(long, tmp_path):
-    story = next(one for one in dialog_timelines(long) if one.legs and one.final == ESTABLISHED)
-    span = span_of(long, None, None, frozenset({story.dialog}), None)
-    assert (span.low, span.high) == (story.came, story.last) and span.focus == {(0, story.dialog)}
-    span = span_of(long, None, None, frozenset(), 2)
-    touched = {(0, one.dialog) for one in dialog_timelines(long) if one.touches(2)}
-    assert span.focus == touched and 0 < len(touched) < len(list(dialog_timelines(long)))
-    copy = cut(long, span, tmp_path / "far.trace", bare=True)
+        found += [entry for entry in trace.entries() if low <= entry.time <= high and dialog_of(entry) == timeline.dialog]
+    expected = [entry for entry in long_trace.entries() if dialog_of(entry) == timeline.dialog]
+    assert found == expected and len(expected) > 2
+    timelines = {timeline.dialog: timeline for timeline in dialog_timelines(open_traces([tmp_path / "a.trace"])[0])}
+    assert timelines[timeline.dialog].outcome == "open"
+
+
+def test_dialogs_and_destinations_are_cut_out_with_all_of_their_records(long_trace, tmp_path):
+    timeline = next(candidate for candidate in dialog_timelines(long_trace) if candidate.legs and candidate.outcome == ESTABLISHED)
+    selection = resolve_selection(long_trace, None, None, frozenset({timeline.dialog}), None)
+    assert (selection.low, selection.high) == (timeline.arrived_at, timeline.last_record_at) and selection.focus == {
+        (0, timeline.dialog)
+    }
+    selection = resolve_selection(long_trace, None, None, frozenset(), 2)
+    expected = {(0, candidate.dialog) for candidate in dialog_timelines(long_trace) if candidate.involves(2)}
+    assert selection.focus == expected and 0 < len(expected) < len(list(dialog_timelines(long_trace)))
+    writer = cut(long_trace, selection, tmp_path / "far.trace", bare=True)
     (bare,) = open_traces([tmp_path / "far.trace"])
-    dialogs = {entry.record[trace_format.DIALOG_AT[entry.record[0]]] for entry in bare.entries()}
-    assert {(0, dialog) for dialog in dialogs} == touched and copy.records < sum(1 for _ in long.entries())
+    dialogs = {entry.record[trace_format.DIALOG_FIELD[entry.record[0]]] for entry in bare.entries()}
+    assert {(0, dialog) for dialog in dialogs} == expected and writer.record_count < sum(1 for _ in long_trace.entries())
     with pytest.raises(BadTraceError, match="nothing of that"):
-        span_of(long, None, None, frozenset({10**6}), None)
+        resolve_selection(long_trace, None, None, frozenset({10**6}), None)
     with pytest.raises(BadTraceError, match="nothing in that window"):
-        cut(long, span_of(long, 1 << 40, None, frozenset(), None), tmp_path / "none.trace")
+        cut(long_trace, resolve_selection(long_trace, 1 << 40, None, frozenset(), None), tmp_path / "none.trace")
 
 
 # --- merge ---
 
 
-def test_clocks_are_found_from_what_crossed_and_the_truth_lies_within_what_is_told():
-    draw = random.Random(7)
+def test_the_true_clock_offset_lies_within_the_reported_uncertainty():
+    generator = random.Random(7)
     offset, drift = 2_000.0, 0.5  # 200 ms and 50 millionths
-    ways = {(0, 1): Way(), (1, 0): Way()}
+    delays = {(0, 1): DirectedDelays(), (1, 0): DirectedDelays()}
     for _ in range(2_000):
-        sent = draw.randrange(600_000)
-        delay = 10 + int(draw.expovariate(1 / 50))
-        here = int(sent + offset + drift * sent / 10_000)
-        if draw.random() < 0.5:
-            ways[0, 1].add(sent, int(here + delay))
+        sent = generator.randrange(600_000)
+        delay = 10 + int(generator.expovariate(1 / 50))
+        local_time = int(sent + offset + drift * sent / 10_000)
+        if generator.random() < 0.5:
+            delays[0, 1].add(sent, int(local_time + delay))
         else:
-            ways[1, 0].add(here, sent + delay)
-    (first, second), given_up = estimate(2, ways, (), 0, 600_000)
-    assert first.offset == 0 and given_up == 0
+            delays[1, 0].add(local_time, sent + delay)
+    (first, second), relaxed_by = estimate_clocks(2, delays, (), 0, 600_000)
+    assert first.offset == 0 and relaxed_by == 0
     middle = second.offset + second.drift * 30
-    assert abs(middle + offset + drift * 30) <= second.uncertain + 2
-    assert 0 < second.uncertain < 40 and abs(second.drift + drift) < 0.5
+    assert abs(middle + offset + drift * 30) <= second.uncertainty + 2
+    assert 0 < second.uncertainty < 40 and abs(second.drift + drift) < 0.5
 
 
-def test_a_clock_that_was_set_is_told_and_one_way_alone_bounds_one_side():
-    ways = {(0, 1): Way(), (1, 0): Way()}
+def test_a_clock_step_is_reported_and_one_direction_alone_bounds_one_side():
+    delays = {(0, 1): DirectedDelays(), (1, 0): DirectedDelays()}
     for sent in range(0, 100_000, 500):
         shift = 0 if sent < 50_000 else 3_000
-        ways[0, 1].add(sent, sent + shift + 10)
-        ways[1, 0].add(sent + shift, sent + 10)
-    _, given_up = estimate(2, ways, (), 0, 100_000)
-    assert given_up > 300
-    way = Way()
-    way.add(0, -500)
-    (_, second), given_up = estimate(2, {(0, 1): way}, (), 0, 1_000)
-    assert second.offset >= 499 and second.uncertain == -1 and given_up == 0
+        delays[0, 1].add(sent, sent + shift + 10)
+        delays[1, 0].add(sent + shift, sent + 10)
+    _, relaxed_by = estimate_clocks(2, delays, (), 0, 100_000)
+    assert relaxed_by > 300
+    direction = DirectedDelays()
+    direction.add(0, -500)
+    (_, second), relaxed_by = estimate_clocks(2, {(0, 1): direction}, (), 0, 1_000)
+    assert second.offset >= 499 and second.uncertainty == -1 and relaxed_by == 0
 
 
 @given(
@@ -184,128 +188,137 @@
     st.floats(-0.2, 0.2),
 )
 @settings(max_examples=150, derandomize=True, deadline=None)
-def test_points_that_are_dropped_can_bind_no_line(points, offset, slope):
-    given = [(sent, sent + delay) for sent, delay in points]
-    kept = binding(given)
-    room = min(received - sent - offset - slope * sent for sent, received in given)
-    assert min(received - sent - offset - slope * sent for sent, received in kept) == pytest.approx(room, abs=1e-6)
+def test_points_outside_the_hull_cannot_bind_a_line(points, offset, slope):
+    all_points = [(sent, sent + delay) for sent, delay in points]
+    hull = binding_points(all_points)
+    slack = min(received - sent - offset - slope * sent for sent, received in all_points)
+    assert min(received - sent - offset - slope * sent for sent, received in hull) == pytest.approx(slack, abs=1e-6)
+
 
+def write_proxy_traces(folder, seed, *, skew=2_000, drift=0.0, restart=False, lost=0.0):
+    """Traces of three proxies that send each other messages; the clock of the second is off by `skew` and `drift`.
 
-def proxies(folder, seed, *, skew=2_000, drift=0.0, restart=False, lost=0.0):
-    """Traces of three proxies that tell each other things; the clock of the second is off. True times are in beats' own."""
-    draw = random.Random(seed)
+    The times are drawn by the true clock. A share `lost` of the messages is not received.
+    """
+    generator = random.Random(seed)
     records: list[list] = [[], [], []]
-    happened = []
+    happenings = []
     for number in range(300):
-        sender, receiver = draw.sample(range(3), 2)
-        sent = draw.randrange(100_000)
-        crossed = number.to_bytes(8)
-        happened.append((sent, sender, SENT, crossed))
-        if draw.random() >= lost:
-            happened.append((sent + 1 + int(draw.expovariate(1 / 30)), receiver, CAME, crossed))
-    happened += [(now, place, TICK, b"") for now in range(0, 100_000, 500) for place in range(3)]
-    happened.sort(key=lambda one: (one[0], one[2] != SENT))
-    for now, place, code, crossed in happened:
-        clock = now + (int(skew + drift * now / 10_000) if place == 1 else 0)
-        records[place] += [[code, clock]] if code == TICK else [[code, clock, crossed, -1]]
-    for place in range(3):
-        cuts = [(0, 45_000), (55_000, 1 << 40)] if restart and place == 2 else [(-1 << 40, 1 << 40)]
-        for life, (low, high) in enumerate(cuts):
+        sender, receiver = generator.sample(range(3), 2)
+        sent = generator.randrange(100_000)
+        message_id = number.to_bytes(8)
+        happenings.append((sent, sender, SENT, message_id))
+        if generator.random() >= lost:
+            happenings.append((sent + 1 + int(generator.expovariate(1 / 30)), receiver, RECEIVED, message_id))
+    happenings += [(now, index, TICK, b"") for now in range(0, 100_000, 500) for index in range(3)]
+    happenings.sort(key=lambda happening: (happening[0], happening[2] != SENT))
+    for now, index, code, message_id in happenings:
+        local_time = now + (int(skew + drift * now / 10_000) if index == 1 else 0)
+        records[index] += [[code, local_time]] if code == TICK else [[code, local_time, message_id, -1]]
+    for index in range(3):
+        periods = [(0, 45_000), (55_000, 1 << 40)] if restart and index == 2 else [(-1 << 40, 1 << 40)]
+        for generation, (low, high) in enumerate(periods):
             header = Header(
-                FORMAT, f"m{place}", f"e{life}", f"p{place}", 1_000.0 + (5 if life else 0), 50_000 if life else 0, {"types": []}
+                FORMAT,
+                f"m{index}",
+                f"e{generation}",
+                f"p{index}",
+                1_000.0 + (5 if generation else 0),
+                50_000 if generation else 0,
+                {"types": []},
             )
-            path = folder / f"p{place}-e{life}.trace"
-            copy = Copy(path, header)
-            for record in records[place]:
+            path = folder / f"p{index}-e{generation}.trace"
+            writer = EntryWriter(path, header)
+            for record in records[index]:
                 if low <= record[1] < high:
-                    copy.put(Entry(0, record[1], record))
-            copy.close()
+                    writer.write(Entry(0, record[1], record))
+            writer.close()
     return records
 
 
-def kept_order(path, traces):
-    """Whether each source's records stand in a merged trace in their own order, all of them."""
+def check_order(path, traces):
+    """Checks that a merged trace holds all records of each source in their own order, and returns it."""
     (merged,) = open_traces([path])
-    found = [[] for _ in merged.sources]
+    records_by_source = [[] for _ in merged.sources]
     times = []
     for entry in merged.entries():
-        found[entry.source].append(entry.record)
-        times.append(entry.now)
+        records_by_source[entry.source].append(entry.record)
+        times.append(entry.time)
     assert times == sorted(times)
-    for source, records in zip(merged.sources, found, strict=True):
-        own = next(trace for trace in traces if (trace.header.instance, trace.header.epoch) == (source.instance, source.epoch))
-        assert records == [entry.record for entry in own.entries()]
+    for source, records in zip(merged.sources, records_by_source, strict=True):
+        original = next(trace for trace in traces if (trace.header.instance, trace.header.epoch) == (source.instance, source.epoch))
+        assert records == [entry.record for entry in original.entries()]
     return merged
 
 
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize(
-    "figures",
+    "options",
     [{}, {"skew": -2_000, "drift": 3.0}, {"restart": True}, {"lost": 0.3, "drift": -1.0}],
     ids=["skewed", "drifting", "restarted", "lossy"],
 )
-def test_merged_traces_keep_every_order_and_turn_nothing_round(tmp_path, seed, figures):
-    proxies(tmp_path, seed, **figures)
+def test_merged_traces_keep_each_order_and_receive_nothing_before_it_is_sent(tmp_path, seed, options):
+    write_proxy_traces(tmp_path, seed, **options)
     traces = open_traces(sorted(tmp_path.glob("p*.trace")))
     done = merge(traces, tmp_path / "merged.trace")
-    merged = kept_order(tmp_path / "merged.trace", traces)
-    many, turned = order(merged)
-    assert turned == 0 and done.forced == 0 and many > 150
-    skew = figures.get("skew", 2_000)
-    found = {source.instance: source for source in done.sources}
-    apart = (found["p1"].offset - found["p0"].offset) + skew
-    drifted = figures.get("drift", 0.0)
-    assert abs(apart + 5 * drifted) <= max(found["p1"].uncertain, 0) + 60 + abs(5 * drifted)
-    if figures.get("restart"):
-        lives = [place for place, source in enumerate(merged.sources) if source.instance == "p2"]
-        order_of = [entry.source for entry in merged.entries() if entry.source in lives]
-        assert order_of == sorted(order_of)
-
-
-def test_a_clock_set_by_half_a_second_turns_nothing_round_either(tmp_path):
-    records = proxies(tmp_path, 9, skew=0)
+    merged = check_order(tmp_path / "merged.trace", traces)
+    messages, reordered = count_reordered(merged)
+    assert reordered == 0 and done.forced == 0 and messages > 150
+    skew = options.get("skew", 2_000)
+    sources = {source.instance: source for source in done.sources}
+    difference = (sources["p1"].offset - sources["p0"].offset) + skew
+    drift = options.get("drift", 0.0)
+    assert abs(difference + 5 * drift) <= max(sources["p1"].uncertain, 0) + 60 + abs(5 * drift)
+    if options.get("restart"):
+        restarted_sources = [index for index, source in enumerate(merged.sources) if source.instance == "p2"]
+        order = [entry.source for entry in merged.entries() if entry.source in restarted_sources]
+        assert order == sorted(order)
+
+
+def test_a_clock_step_of_half_a_second_reorders_no_message(tmp_path):
+    records = write_proxy_traces(tmp_path, 9, skew=0)
     for record in records[1]:
         record[1] += 5_000 if record[1] > 50_000 else 0
     (tmp_path / "p1-e0.trace").unlink()
-    copy = Copy(tmp_path / "p1-e0.trace", Header(FORMAT, "m1", "e0", "p1", 1_000.0, 0, {"types": []}))
+    writer = EntryWriter(tmp_path / "p1-e0.trace", Header(FORMAT, "m1", "e0", "p1", 1_000.0, 0, {"types": []}))
     for record in records[1]:
-        copy.put(Entry(0, record[1], record))
-    copy.close()
+        writer.write(Entry(0, record[1], record))
+    writer.close()
     traces = open_traces(sorted(tmp_path.glob("p*.trace")))
     done = merge(traces, tmp_path / "merged.trace")
-    merged = kept_order(tmp_path / "merged.trace", traces)
-    assert done.given_up > 0 and done.held_back > 0 and done.forced == 0 and order(merged)[1] == 0
+    merged = check_order(tmp_path / "merged.trace", traces)
+    assert done.relaxed_by > 0 and done.held_back > 0 and done.forced == 0 and count_reordered(merged)[1] == 0
 
 
-def test_traces_that_contradict_themselves_are_merged_and_told(tmp_path):
+def test_contradictory_traces_are_merged_and_reported(tmp_path):
     for name, rows in (
-        ("a", [[CAME, 10, b"y" * 8, -1], [SENT, 20, b"x" * 8, -1]]),
-        ("b", [[CAME, 10, b"x" * 8, -1], [SENT, 20, b"y" * 8, -1]]),
+        ("a", [[RECEIVED, 10, b"y" * 8, -1], [SENT, 20, b"x" * 8, -1]]),
+        ("b", [[RECEIVED, 10, b"x" * 8, -1], [SENT, 20, b"y" * 8, -1]]),
     ):
-        copy = Copy(tmp_path / f"{name}.trace", Header(FORMAT, "m", "e", name, 0.0, 0, {"types": []}))
+        writer = EntryWriter(tmp_path / f"{name}.trace", Header(FORMAT, "m", "e", name, 0.0, 0, {"types": []}))
         for record in rows:
-            copy.put(Entry(0, record[1], record))
-        copy.close()
+            writer.write(Entry(0, record[1], record))
+        writer.close()
     done = merge(open_traces([tmp_path / "a.trace", tmp_path / "b.trace"]), tmp_path / "m.trace")
     assert done.forced == 1 and done.records == 4
 
 
-def test_merged_traces_of_several_modules_replay_each_with_its_own_and_cut_again(busy, tmp_path, monkeypatch):  # noqa: F811
-    buffer, header = busy
-    records = with_states(header, buffer.records, 80)
-    written(tmp_path, header, records, name="a.trace")
+def test_merged_traces_of_several_modules_replay_and_can_be_cut(recorded_run, tmp_path, monkeypatch):  # noqa: F811
+    buffer, header = recorded_run
+    records = insert_snapshots(header, buffer.records, 80)
+    write_trace(tmp_path, header, records, name="a.trace")
     other = trace_format.msgspec.structs.replace(header, instance="p1", module="another", wall=0.3)
-    written(tmp_path, other, records, name="b.trace")
-    monkeypatch.setattr("gingergap.trace.copy.EACH_BLOCK", 100)
+    write_trace(tmp_path, other, records, name="b.trace")
+    monkeypatch.setattr("gingergap.trace.entry_writer.BLOCK_RECORDS", 100)
     merge(open_traces([tmp_path / "a.trace", tmp_path / "b.trace"]), tmp_path / "m.trace")
-    trace, done = all_alike(tmp_path / "m.trace")
-    assert trace.header.module == "several" and [one.source.module for one in done] == [header.module, "another"]
-    assert done[0].actions == done[1].actions > 100
-    first, last = trace.places()[0].stretch.first, trace.places()[-1].stretch.last
-    cut(trace, span_of(trace, (first + 2 * last) // 3, None, frozenset(), None), tmp_path / "cut.trace")
-    short, again = all_alike(tmp_path / "cut.trace")
-    assert short.merged and all(one.resumed == 1 and one.actions > 0 for one in again)
-    assert sum(one.actions for one in again) < sum(one.actions for one in done)
+    trace, replays = replay_all(tmp_path / "m.trace")
+    assert trace.header.module == "several" and [run.source.module for run in replays] == [header.module, "another"]
+    assert replays[0].actions == replays[1].actions > 100
+    first, last = trace.block_locations()[0].summary.first_time, trace.block_locations()[-1].summary.last_time
+    cut(trace, resolve_selection(trace, (first + 2 * last) // 3, None, frozenset(), None), tmp_path / "cut.trace")
+    cut_trace, cut_replays = replay_all(tmp_path / "cut.trace")
+    assert cut_trace.merged and all(run.resumed == 1 and run.actions > 0 for run in cut_replays)
+    assert sum(run.actions for run in cut_replays) < sum(run.actions for run in replays)
     with pytest.raises(BadTraceError, match="merged trace can't be merged"):
         merge([trace], tmp_path / "mm.trace")
 
@@ -317,79 +330,85 @@
 
 @given(st.from_regex(r"\+?[0-9]{1,15}", fullmatch=True), st.from_regex(r"\+?[0-9]{1,15}", fullmatch=True))
 @settings(max_examples=100, derandomize=True, deadline=None)
-def test_numbers_keep_their_form_and_never_two_become_one(one, other):
-    numbers = Numbers(KEY)
-    first, second = numbers.number(one), numbers.number(other)
-    assert (first == second) == (one == other)
-    assert len(first) == len(one) and [char.isdigit() for char in first] == [char.isdigit() for char in one]
+def test_replaced_numbers_keep_their_form_and_stay_distinct(first_number, second_number):
+    numbers = NumberCipher(KEY)
+    first_result, second_result = numbers.replace_number(first_number), numbers.replace_number(second_number)
+    assert (first_result == second_result) == (first_number == second_number)
+    assert len(first_result) == len(first_number) and [char.isdigit() for char in first_result] == [
+        char.isdigit() for char in first_number
+    ]
 
 
 @given(st.from_regex(r"[a-zA-Z0-9]{1,24}", fullmatch=True), st.from_regex(r"[a-z0-9]{1,24}", fullmatch=True))
 @settings(max_examples=60, derandomize=True, deadline=None)
-def test_names_of_letters_and_digits_too(one, other):
-    numbers = Numbers(KEY)
-    assert (numbers.number(one) == numbers.number(other)) == (one == other)
-    assert numbers.number(one).isdigit() == one.isdigit()
-    assert numbers.number(f"num:{one}").startswith("num:") and numbers.number(f"num:{one}")[4:] == numbers.number(one)
+def test_replaced_alphanumeric_names_stay_distinct(first_name, second_name):
+    numbers = NumberCipher(KEY)
+    assert (numbers.replace_number(first_name) == numbers.replace_number(second_name)) == (first_name == second_name)
+    assert numbers.replace_number(first_name).isdigit() == first_name.isdigit()
+    assert numbers.replace_number(f"num:{first_name}").startswith("num:") and numbers.replace_number(f"num:{first_name}")[
+        4:
+    ] == numbers.replace_number(first_name)
 
 
-def everything(path):
-    """All bytes of a trace file with its blocks unpacked: header, frames, records, snapshots, index."""
+def unpacked_bytes(path):
+    """A trace file's bytes, followed by its records unpacked: header, summaries, records, snapshots, index."""
     (trace,) = open_traces([path])
-    whole = path.read_bytes()
+    content = path.read_bytes()
     for reader in trace.readers:
         for block in reader.blocks():
-            for record in reader.unpacked(block):
-                whole += trace_format.ENCODER.encode(record)
-    return whole
+            for record in reader.unpack_block(block):
+                content += trace_format.ENCODER.encode(record)
+    return content
 
 
-def test_no_number_is_left_anywhere_and_every_decision_is_the_same(busy, tmp_path):  # noqa: F811
-    buffer, header = busy
-    grown = [
+def test_anonymising_leaves_no_number_and_changes_no_decision(recorded_run, tmp_path):  # noqa: F811
+    buffer, header = recorded_run
+    records_with_long_numbers = [
         [*record[:6], f"27{record[6]}55", *record[7:]] if record[0] == CODES["dialog_received"] else record
         for record in buffer.records
     ]
-    called = sorted({record[6] for record in grown if record[0] == CODES["dialog_received"]})
-    records = with_states(header, grown, 25)
-    records.insert(40, [CODES["remark"], records[39][1], f"lines dead at {called[3]}, and at +{called[5]} since 09:14"])
-    header = trace_format.msgspec.structs.replace(header, instance=f"p{called[0]}")
-    path = written(tmp_path, header, records, each=100)
-    assert all(number.encode() in everything(path) for number in called)
-    (copy,) = anonymise(open_traces([path])[0], Numbers(KEY), tmp_path / "out")
-    whole = everything(copy.path)
-    assert not [number for number in called if number.encode() in whole]
-    trace, (done,) = all_alike(copy.path)
-    assert done.actions == replayed(header, records).actions
+    numbers = sorted({record[6] for record in records_with_long_numbers if record[0] == CODES["dialog_received"]})
+    records = insert_snapshots(header, records_with_long_numbers, 25)
+    records.insert(40, [CODES["remark"], records[39][1], f"lines dead at {numbers[3]}, and at +{numbers[5]} since 09:14"])
+    header = trace_format.msgspec.structs.replace(header, instance=f"p{numbers[0]}")
+    path = write_trace(tmp_path, header, records, block_records=100)
+    assert all(number.encode() in unpacked_bytes(path) for number in numbers)
+    (writer,) = anonymise(open_traces([path])[0], NumberCipher(KEY), tmp_path / "out")
+    content = unpacked_bytes(writer.path)
+    assert not [number for number in numbers if number.encode() in content]
+    trace, (done,) = replay_all(writer.path)
+    assert done.actions == replay_records(header, records).actions
     remark = next(entry.record[2] for entry in trace.entries() if entry.record[0] == CODES["remark"])
     assert remark.startswith("lines dead at ") and remark.endswith(" since 09:14")
     states = [state_of(entry.record[2]) for entry in trace.entries() if entry.record[0] == SNAPSHOT]
-    held = {dialog.caller_number for state in states for dialog in state["dialogs"].values()}
-    assert held and held <= {Numbers(KEY).number(number) for number in called}
-    assert {what for state in states for _, _, what in state["timers"]} <= own_words()
+    kept_numbers = {dialog.caller_number for state in states for dialog in state["dialogs"].values()}
+    assert kept_numbers and kept_numbers <= {NumberCipher(KEY).replace_number(number) for number in numbers}
+    assert {entry_kind for state in states for _, _, entry_kind in state["timers"]} <= module_strings()
 
 
-def test_a_replay_from_an_anonymised_state_goes_on_as_before(busy, tmp_path):  # noqa: F811
-    buffer, header = busy
-    records = with_states(header, buffer.records, 50)
-    (copy,) = anonymise(open_traces([written(tmp_path, header, records, each=100)])[0], Numbers(KEY), tmp_path / "out")
-    (trace,) = open_traces([copy.path])
+def test_a_replay_from_an_anonymised_snapshot_matches(recorded_run, tmp_path):  # noqa: F811
+    buffer, header = recorded_run
+    records = insert_snapshots(header, buffer.records, 50)
+    (writer,) = anonymise(
+        open_traces([write_trace(tmp_path, header, records, block_records=100)])[0], NumberCipher(KEY), tmp_path / "out"
+    )
+    (trace,) = open_traces([writer.path])
     entries = list(trace.entries())
-    first = [place for place, entry in enumerate(entries) if entry.record[0] == SNAPSHOT][2]
-    (done,) = replay(trace.sources, entries[first:], whole=False)
+    first = [index for index, entry in enumerate(entries) if entry.record[0] == SNAPSHOT][2]
+    (done,) = replay(trace.sources, entries[first:], from_start=False)
     assert done.difference is None and done.resumed == 1 and done.actions > 50
 
 
-def test_a_state_that_cannot_be_read_is_not_passed_on(tmp_path, busy):  # noqa: F811
-    _, header = busy
-    path = written(tmp_path, header, [[SNAPSHOT, 1, b"junk"], [TICK, 2]])
+def test_an_unreadable_snapshot_is_not_anonymised(tmp_path, recorded_run):  # noqa: F811
+    _, header = recorded_run
+    path = write_trace(tmp_path, header, [[SNAPSHOT, 1, b"junk"], [TICK, 2]])
     with pytest.raises(BadTraceError, match="not known which numbers"):
-        anonymise(open_traces([path])[0], Numbers(KEY), tmp_path / "out")
+        anonymise(open_traces([path])[0], NumberCipher(KEY), tmp_path / "out")
 
 
 # --- compare and diff ---
 
-TIMID = """
+WITHHOLDING_MODULE = """
 from .call_controller import *  # noqa
 from . import call_controller
 LinearCongruentialGenerator, TrunkGroup, Exchange, Dialog = (type(name, (getattr(call_controller, name),), {"__module__": __name__}
@@ -405,80 +424,80 @@
 """
 
 
-def test_another_version_is_asked_at_every_event_and_its_differences_counted(busy, tmp_path):  # noqa: F811
-    buffer, header = busy
-    path = tmp_path / "timid.py"
-    path.write_text(TIMID)
-    (trace,) = open_traces([written(tmp_path, header, buffer.records)])
-    found = compare(trace.sources, trace.entries(), True, module_at(path))
-    stories = list(dialog_timelines(trace))
-    assert found.decisions == replayed(header, buffer.records).actions
-    withheld = sum(kind.many for name, kind in found.kinds.items() if name.startswith("send_leg ->"))
-    assert withheld == sum(bool(one.legs) and one.dialog % 5 == 0 for one in stories) > 3
-    lost = sum(kind.lost for name, kind in found.kinds.items() if name.endswith("-> decline"))
-    stood = [one for one in stories if one.final == ESTABLISHED and one.dialog % 5 == 0]
-    declined = [name for name in found.kinds if name == "send_leg -> decline"]
-    assert lost <= len(stood) and (lost > 0) == bool(declined and stood)
-    same = compare(trace.sources, trace.entries(), True, call_controller)
-    assert same.kinds == {} and same.stood == found.stood > 0
-
-
-def test_nothing_is_said_of_another_version_where_this_one_does_not_decide_as_noted(busy, tmp_path):  # noqa: F811
-    buffer, header = busy
+def test_the_differences_of_another_module_are_counted_at_every_event(recorded_run, tmp_path):  # noqa: F811
+    buffer, header = recorded_run
+    path = tmp_path / "other.py"
+    path.write_text(WITHHOLDING_MODULE)
+    (trace,) = open_traces([write_trace(tmp_path, header, buffer.records)])
+    result = compare(trace.sources, trace.entries(), True, module_at(path))
+    timelines = list(dialog_timelines(trace))
+    assert result.decisions == replay_records(header, buffer.records).actions
+    withheld_legs = sum(kind.count for name, kind in result.kinds.items() if name.startswith("send_leg ->"))
+    assert withheld_legs == sum(bool(timeline.legs) and timeline.dialog % 5 == 0 for timeline in timelines) > 3
+    lost_importance = sum(kind.lost_importance for name, kind in result.kinds.items() if name.endswith("-> decline"))
+    established = [timeline for timeline in timelines if timeline.outcome == ESTABLISHED and timeline.dialog % 5 == 0]
+    declined_kinds = [name for name in result.kinds if name == "send_leg -> decline"]
+    assert lost_importance <= len(established) and (lost_importance > 0) == bool(declined_kinds and established)
+    same_module_result = compare(trace.sources, trace.entries(), True, call_controller)
+    assert same_module_result.kinds == {} and same_module_result.established_importance == result.established_importance > 0
+
+
+def test_comparing_fails_if_this_module_does_not_decide_as_recorded(recorded_run, tmp_path):  # noqa: F811
+    buffer, header = recorded_run
     records = [[CODES["abort"], record[1]] if record[0] == CODES["decline"] else record for record in buffer.records]
-    (trace,) = open_traces([written(tmp_path, header, records)])
-    with pytest.raises(BadTraceError, match="does not decide as was noted"):
+    (trace,) = open_traces([write_trace(tmp_path, header, records)])
+    with pytest.raises(BadTraceError, match="does not decide as was recorded"):
         compare(trace.sources, trace.entries(), True, call_controller)
 
 
 @pytest.mark.parametrize("text", ["this is no Python", "x = 1", "raise OSError('no')"])
-def test_a_file_that_is_no_module_is_refused_in_a_line(tmp_path, text):
+def test_a_file_that_is_no_module_is_refused_in_one_line(tmp_path, text):
     path = tmp_path / "other.py"
     path.write_text(text)
-    with pytest.raises(BadTraceError) as bad:
+    with pytest.raises(BadTraceError) as error:
         module_at(path)
-    assert str(path) in str(bad.value) and "\n" not in str(bad.value)
+    assert str(path) in str(error.value) and "\n" not in str(error.value)
 
 
-def test_differences_have_plain_names():
+def test_names_of_differences():
     send, decline, wake = CODES["send_leg"], CODES["decline"], CODES["schedule_tick"]
-    assert [row[0] for row in kinds_of([[send, 1, 2, 9]], [[send, 1, 3, 9]])] == ["leg to another exchange"]
-    assert [row[0] for row in kinds_of([[send, 1, 2, 9]], [[send, 1, 2, 8]])] == ["other figures in send_leg"]
-    assert [row[0] for row in kinds_of([[send, 1, 2, 9]], [[decline, 1, 0]])] == ["send_leg -> decline"]
-    assert [row[0] for row in kinds_of([[wake, 200]], [])] == ["schedule_tick -> nothing yet"]
-    assert [row[0] for row in kinds_of([[send, 1, 2, 9], [decline, 2, 0]], [[decline, 2, 0], [send, 1, 2, 9]])] == [
+    assert [row[0] for row in classify_differences([[send, 1, 2, 9]], [[send, 1, 3, 9]])] == ["leg to another exchange"]
+    assert [row[0] for row in classify_differences([[send, 1, 2, 9]], [[send, 1, 2, 8]])] == ["other figures in send_leg"]
+    assert [row[0] for row in classify_differences([[send, 1, 2, 9]], [[decline, 1, 0]])] == ["send_leg -> decline"]
+    assert [row[0] for row in classify_differences([[wake, 200]], [])] == ["schedule_tick -> nothing yet"]
+    assert [row[0] for row in classify_differences([[send, 1, 2, 9], [decline, 2, 0]], [[decline, 2, 0], [send, 1, 2, 9]])] == [
         "other order of the same"
     ]
 
 
-def test_two_traces_are_told_apart_at_the_first_record(busy, tmp_path):  # noqa: F811
-    buffer, header = busy
-    (left,) = open_traces([written(tmp_path, header, buffer.records, name="a.trace")])
+def test_diff_finds_the_first_differing_record(recorded_run, tmp_path):  # noqa: F811
+    buffer, header = recorded_run
+    (left,) = open_traces([write_trace(tmp_path, header, buffer.records, name="a.trace")])
     (same,) = open_traces(
-        [written(tmp_path, header, [record for record in buffer.records if record[0] < FIRST_NOTE], name="b.trace")]
+        [write_trace(tmp_path, header, [record for record in buffer.records if record[0] < FIRST_NOTE], name="b.trace")]
     )
-    assert difference(left, same).place == -1
-    wrong = list(buffer.records)
-    place = next(place for place, record in enumerate(wrong) if record[0] == CODES["decline"])
-    wrong[place] = [CODES["decline"], wrong[place][1], 77_777]
-    (right,) = open_traces([written(tmp_path, header, wrong, name="c.trace")])
-    found = difference(left, right)
-    heard = sum(record[0] < FIRST_NOTE for record in buffer.records[:place])
-    assert found.place == heard and found.right[2] == 77_777 and found.before
-    (shorter,) = open_traces([written(tmp_path, header, buffer.records[:-30], name="d.trace")])
-    found = difference(left, shorter)
-    assert found.right is None and found.counts
+    assert diff_traces(left, same).record_index == -1
+    changed = list(buffer.records)
+    index = next(index for index, record in enumerate(changed) if record[0] == CODES["decline"])
+    changed[index] = [CODES["decline"], changed[index][1], 77_777]
+    (right,) = open_traces([write_trace(tmp_path, header, changed, name="c.trace")])
+    diff = diff_traces(left, right)
+    compared = sum(record[0] < FIRST_NOTE for record in buffer.records[:index])
+    assert diff.record_index == compared and diff.right[2] == 77_777 and diff.before
+    (shorter,) = open_traces([write_trace(tmp_path, header, buffer.records[:-30], name="d.trace")])
+    diff = diff_traces(left, shorter)
+    assert diff.right is None and diff.counts
 
 
 # --- the commands ---
 
 
-def test_the_commands_go_from_one_to_the_next(busy, tmp_path):  # noqa: F811
-    buffer, header = busy
-    records = with_states(header, buffer.records, 60)
+def test_the_output_of_one_command_is_the_input_of_the_next(recorded_run, tmp_path):  # noqa: F811
+    buffer, header = recorded_run
+    records = insert_snapshots(header, buffer.records, 60)
     for name, wall in (("p0", 0.0), ("p1", 0.2)):
         other = trace_format.msgspec.structs.replace(header, instance=name, wall=wall)
-        written(tmp_path, other, records, each=100, name=f"{name}-e1-000.trace")
+        write_trace(tmp_path, other, records, block_records=100, name=f"{name}-e1-000.trace")
     key = tmp_path / "key"
     key.write_bytes(KEY)
     run = CliRunner().invoke
@@ -495,19 +514,19 @@
         ["show", paths[0], "--at", "30", "--around", "3"],
     ]
     for step in steps:
-        done = run(main, ["trace", *step])
-        assert done.exit_code == 0, (step, done.output, done.stderr)
+        result = run(main, ["trace", *step])
+        assert result.exit_code == 0, (step, result.output, result.stderr)
     assert (tmp_path / "chart.svg").stat().st_size > 5_000
     assert run(main, ["trace", "diff", paths[0], paths[1]]).exit_code == 0
     assert run(main, ["trace", "diff", paths[0], f"{tmp_path}/c.trace"]).exit_code == 1
-    timid = tmp_path / "timid.py"
-    timid.write_text(TIMID)
-    done = run(main, ["trace", "replay", paths[0], "--module", str(timid)])
-    assert done.exit_code == 1 and "send_leg" in done.output
+    other_path = tmp_path / "other.py"
+    other_path.write_text(WITHHOLDING_MODULE)
+    result = run(main, ["trace", "replay", paths[0], "--module", str(other_path)])
+    assert result.exit_code == 1 and "send_leg" in result.output
 
 
 @pytest.mark.parametrize(
-    "words",
+    "arguments",
     [
         ["info", "nowhere.trace"],
         ["info", "."],
@@ -524,27 +543,27 @@
         ["state", "--control", "none.sock"],
     ],
 )
-def test_what_cannot_be_done_is_one_line_and_exit_2(busy, tmp_path, monkeypatch, words):  # noqa: F811
+def test_invalid_requests_end_in_one_line_and_exit_2(recorded_run, tmp_path, monkeypatch, arguments):  # noqa: F811
     monkeypatch.chdir(tmp_path)
-    buffer, header = busy
-    path = written(tmp_path, header, buffer.records, name="p.trace")
+    buffer, header = recorded_run
+    path = write_trace(tmp_path, header, buffer.records, name="p.trace")
     (tmp_path / "short").write_text("x y z")
     (tmp_path / "key").write_bytes(KEY)
     (tmp_path / "empty").mkdir()
     (trace,) = open_traces([path])
-    cut(trace, span_of(trace, None, None, frozenset({5}), None), tmp_path / "bare.trace", bare=True)
+    cut(trace, resolve_selection(trace, None, None, frozenset({5}), None), tmp_path / "bare.trace", bare=True)
     before = path.read_bytes()
-    if words == ["info", "."]:
-        words = ["info", "empty"]
-    done = CliRunner().invoke(main, ["trace", *words])
-    assert done.exit_code == 2 and len(done.stderr.strip().splitlines()) == 1, (done.output, done.stderr)
+    if arguments == ["info", "."]:
+        arguments = ["info", "empty"]
+    result = CliRunner().invoke(main, ["trace", *arguments])
+    assert result.exit_code == 2 and len(result.stderr.strip().splitlines()) == 1, (result.output, result.stderr)
     assert path.read_bytes() == before
 
 
-def test_what_several_processes_wrote_in_one_folder_stays_apart(busy, tmp_path):  # noqa: F811
-    buffer, header = busy
+def test_traces_of_several_processes_in_one_folder_are_separate(recorded_run, tmp_path):  # noqa: F811
+    buffer, header = recorded_run
     for epoch, wall in (("e1", 0.0), ("e2", 50.0)):
-        written(
+        write_trace(
             tmp_path,
             trace_format.msgspec.structs.replace(header, epoch=epoch, wall=wall),
             buffer.records,
@@ -553,5 +572,5 @@
     traces = open_traces([tmp_path])
     assert [trace.header.epoch for trace in traces] == ["e1", "e2"]
     merge(traces, tmp_path / "m.trace")
-    merged = kept_order(tmp_path / "m.trace", traces)
+    merged = check_order(tmp_path / "m.trace", traces)
     assert [key for key, _ in itertools.groupby(entry.source for entry in merged.entries())] == [0, 1]
--- a/tests/test_trace_versions.py
+++ b/tests/test_trace_versions.py
@@ -123,8 +123,8 @@
 
 
 def test_a_trace_of_the_first_names_replays_whole(recorded):
-    (done,) = replay(recorded.sources, recorded.entries(), recorded.whole)
-    assert done.difference is None and done.events == 1057 and done.actions == 650 and recorded.breaks() == []
+    (done,) = replay(recorded.sources, recorded.entries(), recorded.from_start)
+    assert done.difference is None and done.events == 1057 and done.actions == 650 and recorded.corruption_messages() == []
 
 
 def test_a_trace_of_the_first_names_replays_from_each_of_its_snapshots(recorded):
@@ -132,7 +132,7 @@
     begins = [index for index, entry in enumerate(entries) if entry.record[0] == SNAPSHOT]
     assert len(begins) == 7
     for begin in begins:
-        (done,) = replay(recorded.sources, entries[begin:], whole=False)
+        (done,) = replay(recorded.sources, entries[begin:], from_start=False)
         assert done.difference is None and done.resumed == 1 and done.events > 50 and done.actions > 40
 
 
