--- a/gingergap/trace/__init__.py
+++ b/gingergap/trace/__init__.py
@@ -1,1 +1,1 @@
-"""Trace files: every event that entered the decision module and every action it asked for, in order, to be replayed."""
+"""Trace files: a proxy's decision inputs (events) and outputs (actions) in order, for replay and analysis."""
--- a/gingergap/trace/instrumentation.py
+++ b/gingergap/trace/instrumentation.py
@@ -131,29 +131,29 @@
     def __init__(self, host: Host, buffer: TraceBuffer) -> None:
         self.host, self.buffer = host, buffer
 
-    def send_leg(self, dialog: int, gw: int, limit: int) -> None:
-        self.buffer.action((SEND_LEG, dialog, gw, limit))
-        self.host.send_leg(dialog, gw, limit)
+    def send_leg(self, dialog_index: int, gw: int, time_limit: int) -> None:
+        self.buffer.action((SEND_LEG, dialog_index, gw, time_limit))
+        self.host.send_leg(dialog_index, gw, time_limit)
 
-    def cancel_leg(self, dialog: int, leg: int) -> None:
-        self.buffer.action((CANCEL_LEG, dialog, leg))
-        self.host.cancel_leg(dialog, leg)
+    def cancel_leg(self, dialog_index: int, leg_index: int) -> None:
+        self.buffer.action((CANCEL_LEG, dialog_index, leg_index))
+        self.host.cancel_leg(dialog_index, leg_index)
 
-    def decline(self, dialog: int, hold_off: int) -> None:
-        self.buffer.action((DECLINE, dialog, hold_off))
-        self.host.decline(dialog, hold_off)
+    def decline(self, dialog_index: int, hold_off: int) -> None:
+        self.buffer.action((DECLINE, dialog_index, hold_off))
+        self.host.decline(dialog_index, hold_off)
 
-    def abort(self, dialog: int) -> None:
-        self.buffer.action((ABORT, dialog))
-        self.host.abort(dialog)
+    def abort(self, dialog_index: int) -> None:
+        self.buffer.action((ABORT, dialog_index))
+        self.host.abort(dialog_index)
 
     def schedule_tick(self, delay: int) -> None:
         self.buffer.action((SCHEDULE_TICK, delay))
         self.host.schedule_tick(delay)
 
-    def send_to_peers(self, told: bytes) -> None:
-        self.buffer.action((SEND_TO_PEERS, told))
-        self.host.send_to_peers(told)
+    def send_to_peers(self, report: bytes) -> None:
+        self.buffer.action((SEND_TO_PEERS, report))
+        self.host.send_to_peers(report)
 
     def subscribe(self) -> None:
         self.buffer.action((SUBSCRIBE,))
@@ -173,13 +173,13 @@
         self.trace_buffer.event((TICK, now))
         CallController.tick(self, now)
 
-    def peer_report_received(self, now: int, told: bytes) -> None:
-        self.trace_buffer.event((PEER_REPORT_RECEIVED, now, told))
-        CallController.peer_report_received(self, now, told)
+    def peer_report_received(self, now: int, report: bytes) -> None:
+        self.trace_buffer.event((PEER_REPORT_RECEIVED, now, report))
+        CallController.peer_report_received(self, now, report)
 
-    def exchange_list_received(self, now: int, entries: list, whole: bool) -> None:
-        self.trace_buffer.event((EXCHANGE_LIST_RECEIVED, now, [[int(part) for part in entry] for entry in entries], whole))
-        super().exchange_list_received(now, entries, whole)
+    def exchange_list_received(self, now: int, entries: list, complete: bool) -> None:
+        self.trace_buffer.event((EXCHANGE_LIST_RECEIVED, now, [[int(field) for field in entry] for entry in entries], complete))
+        super().exchange_list_received(now, entries, complete)
 
     def restore(self, now: int, known: Learned, age: int) -> None:
         self.trace_buffer.event((RESTORE, now, known, age))
@@ -196,33 +196,59 @@
     def dialog_received(
         self,
         now: int,
-        dialog: int,
-        kind: int,
-        far: int,
-        width: int,
-        number: str,
+        dialog_index: int,
+        traffic_type: int,
+        destination: int,
+        circuits: int,
+        caller_number: str,
         expires_in: int,
         transit: bool,
         redialled: bool,
-        cut: bool,
-        advised: int = -1,
+        after_cut: bool,
+        advised_tandem: int = -1,
     ) -> None:
         self.trace_buffer.event(
-            (DIALOG_RECEIVED, now, dialog, kind, far, width, number, expires_in, transit, redialled, cut, advised)
+            (
+                DIALOG_RECEIVED,
+                now,
+                dialog_index,
+                traffic_type,
+                destination,
+                circuits,
+                caller_number,
+                expires_in,
+                transit,
+                redialled,
+                after_cut,
+                advised_tandem,
+            )
+        )
+        CallController.dialog_received(
+            self,
+            now,
+            dialog_index,
+            traffic_type,
+            destination,
+            circuits,
+            caller_number,
+            expires_in,
+            transit,
+            redialled,
+            after_cut,
+            advised_tandem,
         )
-        CallController.dialog_received(self, now, dialog, kind, far, width, number, expires_in, transit, redialled, cut, advised)
 
-    def dialog_established(self, now: int, dialog: int, took: int) -> None:
-        self.trace_buffer.event((DIALOG_ESTABLISHED, now, dialog, took))
-        CallController.dialog_established(self, now, dialog, took)
+    def dialog_established(self, now: int, dialog_index: int, setup_duration: int) -> None:
+        self.trace_buffer.event((DIALOG_ESTABLISHED, now, dialog_index, setup_duration))
+        CallController.dialog_established(self, now, dialog_index, setup_duration)
 
-    def leg_ended(self, now: int, dialog: int, gw: int, how, rsn: int, over: bool, free: int, size: int) -> None:
-        self.trace_buffer.event((LEG_ENDED, now, dialog, gw, int(how), int(rsn), over, free, size))
-        CallController.leg_ended(self, now, dialog, gw, how, rsn, over, free, size)
+    def leg_ended(self, now: int, dialog_index: int, gw: int, leg_end, rsn: int, finished: bool, free: int, size: int) -> None:
+        self.trace_buffer.event((LEG_ENDED, now, dialog_index, gw, int(leg_end), int(rsn), finished, free, size))
+        CallController.leg_ended(self, now, dialog_index, gw, leg_end, rsn, finished, free, size)
 
-    def dialog_cancelled(self, now: int, dialog: int) -> None:
-        self.trace_buffer.event((DIALOG_CANCELLED, now, dialog))
-        super().dialog_cancelled(now, dialog)
+    def dialog_cancelled(self, now: int, dialog_index: int) -> None:
+        self.trace_buffer.event((DIALOG_CANCELLED, now, dialog_index))
+        super().dialog_cancelled(now, dialog_index)
 
 
 def recording_controller(buffer: TraceBuffer, host: Host, *args: Any, **figures: Any) -> CallController:
--- a/gingergap/trace/replay.py
+++ b/gingergap/trace/replay.py
@@ -55,13 +55,13 @@
     """Calls the controller's method for an event."""
     name, fields = NAMES[record[0]], record[1:]
     if name == "exchange_list_received":
-        now, entries, whole = fields
+        now, entries, complete = fields
         controller.exchange_list_received(
-            now, [ListEntry(gw, number, GwState(state), started) for gw, number, state, started in entries], whole
+            now, [ListEntry(gw, number, GwState(state), started) for gw, number, state, started in entries], complete
         )
     elif name == "leg_ended":
-        now, dialog, gw, how, rsn, over, free, size = fields
-        controller.leg_ended(now, dialog, gw, LegEnd(how), rsn, over, free, size)
+        now, dialog, gw, leg_end, rsn, finished, free, size = fields
+        controller.leg_ended(now, dialog, gw, LegEnd(leg_end), rsn, finished, free, size)
     elif name == "restore":
         now, learned, age = fields
         controller.restore(now, learned_from_lists(learned), age)
--- a/gingergap/trace/wire_capture.py
+++ b/gingergap/trace/wire_capture.py
@@ -84,15 +84,17 @@
         self.writer = EntryWriter(folder / f"{header.instance}-{header.epoch}-000.trace", header)
         self.now = now_us // UNIT_US
 
-    def _create_controller(self, host: Any, seed: int, here: int, proxies: int, types: list[Any], **figures: Any) -> CallController:
+    def _create_controller(
+        self, host: Any, seed: int, own_exchange: int, proxy_count: int, traffic_types: list[Any], **figures: Any
+    ) -> CallController:
         self.figures.update(
             stored_arguments(figures),
             seed=seed,
-            here=here,
-            proxies=proxies,
-            types=[[*entry[:5], None if entry.pools is None else sorted(entry.pools)] for entry in types],
+            here=own_exchange,
+            proxies=proxy_count,
+            types=[[*entry[:5], None if entry.pools is None else sorted(entry.pools)] for entry in traffic_types],
         )
-        return recording_controller(self.buffer, host, seed, here, proxies, types, **figures)
+        return recording_controller(self.buffer, host, seed, own_exchange, proxy_count, traffic_types, **figures)
 
     def write(self) -> None:
         records, _ = self.buffer.drain()
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -334,7 +334,7 @@
 
 def test_a_replay_skips_events_between_a_gap_and_the_next_snapshot(recorded_run):
     buffer, header = recorded_run
-    events = [place for place, record in enumerate(buffer.records) if record[0] < FIRST_ACTION]
+    events = [index for index, record in enumerate(buffer.records) if record[0] < FIRST_ACTION]
     first, second = events[100], events[200]
     before_second = replay_records(header, buffer.records[:second])
     snapshot = [SNAPSHOT, buffer.records[second][1], freeze(before_second.controller)]
