--- a/benchmarks/causes.py
+++ b/benchmarks/causes.py
@@ -19,9 +19,9 @@
 from gingergap.settings.forms import read
 from gingergap.standins.player import form
 from gingergap.standins.script import Plan
-from gingergap.trace.causes import bad_stretches
-from gingergap.trace.stream import opened
-from gingergap.trace.tally import Tally
+from gingergap.trace.causes import find_bad_stretches
+from gingergap.trace.stream import open_traces
+from gingergap.trace.summary import TraceSummary
 
 TYPES = [
     {
@@ -140,20 +140,20 @@
     struck = plan.strikes[0].members
     fault = day.fault[0]
     found = []
-    for trace in opened([folder / "traces"]):
+    for trace in open_traces([folder / "traces"]):
         number = int(trace.header.figures["here"])
         if kind == "own processor" and number not in struck or kind == "one far end" and number in struck:
             continue
-        tally = Tally(trace.sources, 10_000)
+        summary = TraceSummary(trace.sources, 10_000)
         for entry in trace.entries():
-            tally.take(entry)
-        tally.end()
-        stretches = bad_stretches(tally.all_slices(), tally.span, tally.usual(), tally.objective())
+            summary.add(entry)
+        summary.finish()
+        stretches = find_bad_stretches(summary.all_slices(), summary.interval, summary.median_setup(), summary.shortest_objective())
         trace.close()
         if not stretches:
             found.append((number, "nothing", None, fault.kind))
             continue
-        worst = max(stretches, key=lambda one: one.troubles)
+        worst = max(stretches, key=lambda stretch: stretch.failures)
         found.append((number, worst.cause, worst, fault.kind))
     return found
 
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -23,8 +23,8 @@
 from gingergap.standins.script import Plan
 from gingergap.store.record_store import RecordStore
 from gingergap.store.records import ALIVE, CALLER, EXCHANGE, PAIR, Change
-from gingergap.trace.stories import STOOD, stories_of
-from gingergap.trace.stream import opened
+from gingergap.trace.stream import open_traces
+from gingergap.trace.timeline import ESTABLISHED, dialog_timelines
 
 DAY = Path(__file__).resolve().parent.parent / "days" / "restarts.sexp"
 FIRST = 100_000  # ten seconds
@@ -100,7 +100,7 @@
     worth = earned = 0.0
     bad = legs = came = 0
     first_start = {}
-    for trace in opened([folder / "traces"]):
+    for trace in open_traces([folder / "traces"]):
         first_start.setdefault(trace.header.instance, trace.header.wall)
         if restarted == (trace.header.wall == first_start[trace.header.instance]):
             continue
@@ -113,12 +113,12 @@
         )
         begin = trace.header.started
         types = trace.header.figures["types"]
-        for story in stories_of(trace):
+        for timeline in dialog_timelines(trace):
             lead = 0 if restarted else round((epoch * 10_000) - begin)
-            if story.came > begin + lead + FIRST:
+            if timeline.arrived_at > begin + lead + FIRST:
                 continue
-            for leg in story.legs:
-                at = leg.sent / 10_000 - epoch
+            for leg in timeline.legs:
+                at = leg.sent_at / 10_000 - epoch
                 struck = {
                     number
                     for kind in ("slow", "vanish")
@@ -127,13 +127,13 @@
                     for number in strike.members
                 }
                 legs += 1
-                bad += leg.number in struck
-            if story.transit:
+                bad += leg.exchange in struck
+            if timeline.transit:
                 continue
             came += 1
-            worth += types[story.kind][3]
-            if story.final == STOOD and story.took <= types[story.kind][0]:
-                earned += types[story.kind][3]
+            worth += types[timeline.traffic_type][3]
+            if timeline.outcome == ESTABLISHED and timeline.final_answer_delay <= types[timeline.traffic_type][0]:
+                earned += types[timeline.traffic_type][3]
         trace.close()
     report = json.loads((folder / "report.json").read_text())
     broken = sum(rule["broken"] for rule in report["rules"].values())
--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -21,8 +21,8 @@
 from ..store.audit import DialogAudit
 from ..store.proxy_state import ListedExchange, RestoredState, StateRecorder
 from ..store.records import DialogRecord
+from ..trace.instrumentation import TraceBuffer, answer_id, message_id, recording_controller
 from ..trace.stored_names import stored_arguments
-from ..trace.tape import Tape, answer_to, crossing, recorded
 from . import words
 from .calls import Asked, Call, Leg, NoServer, Onward
 from .circuits import Circuits
@@ -122,13 +122,13 @@
         warm_after: int,
         multiple: float,
         fall_span: int,
-        tape: Tape | None = None,
+        trace_buffer: TraceBuffer | None = None,
         memory: StateRecorder | None = None,
         recalled: RestoredState | None = None,
     ) -> None:
         self.wire, self.log, self.fresh = wire, log, fresh
         self.address, self.domain, self.here = address, domain, here
-        self.tape, self.memory = tape, memory
+        self.trace_buffer, self.memory = trace_buffer, memory
         self.audit = DialogAudit()
         self.types, self.kinds, self.widths = types, kinds, widths
         self.numbering, self.door, self.default_expires = numbering, door, default_expires
@@ -176,10 +176,10 @@
             "proxies": len(exchanges),
             "types": [[*entry[:5], None if entry.pools is None else sorted(entry.pools)] for entry in types],
         }
-        if tape is None:
+        if trace_buffer is None:
             self.controller = CallController(self, seed, here, len(exchanges), types, **figures)
         else:
-            self.controller = recorded(tape, self, seed, here, len(exchanges), types, **figures)
+            self.controller = recording_controller(trace_buffer, self, seed, here, len(exchanges), types, **figures)
         known = []
         for number, name, (host, port) in exchanges:
             gw = self._gw(name, number)
@@ -431,7 +431,7 @@
         branch = self._branch()
         leg.client = self.transactions.request(now, invite, hop, branch, leg)
         if leg.far != call.far:
-            leg.crossing = crossing(branch)
+            leg.crossing = message_id(branch)
             self._note("sent", leg.crossing, dialog)
         heappush(self.due_legs, (now + limit, leg.serial, call.index))
 
@@ -445,7 +445,7 @@
         call = self.calls[dialog]
         self._count("declined")
         if call.crossing:
-            self._note("sent", answer_to(call.crossing), dialog)
+            self._note("sent", answer_id(call.crossing), dialog)
         self._final(self.now, call, *words.declined(call.transit, call.how, call.rsn, hold_off))
         if call.leg is None:
             self._forget(call)
@@ -483,7 +483,7 @@
                 ("Content-Type", "application/octet-stream"),
             ]
             self.messages_out[gw] = self.messages_out.get(gw, 0) + 1
-            self._note("sent", crossing(message.call_id), -1)
+            self._note("sent", message_id(message.call_id), -1)
             self.transactions.request(self.now, message, hop, self._branch(), gw)
 
     def subscribe(self) -> None:
@@ -545,9 +545,9 @@
             call.number = ""
             leg.client.request = call.server.request = None
             if leg.crossing:
-                self._note("received", answer_to(leg.crossing), call.index)
+                self._note("received", answer_id(leg.crossing), call.index)
             if call.crossing:
-                self._note("sent", answer_to(call.crossing), call.index)
+                self._note("sent", answer_id(call.crossing), call.index)
             self.controller.dialog_established(now, call.index, now - leg.started)
             return
         if not leg.over:
@@ -575,7 +575,7 @@
         self._count(f"legs ended {how.name.lower()}")
         over = call.answered
         if leg.crossing and rsn == Rsn.TANDEM_DECLINED:  # only the proxy there says that
-            self._note("received", answer_to(leg.crossing), call.index)
+            self._note("received", answer_id(leg.crossing), call.index)
         if over:
             self._forget(call)
         if type(call.server) is NoServer:  # the module never heard of it
@@ -826,7 +826,7 @@
         """Another proxy's word; one that is too short says nothing."""
         self._answer(now, server, 200)
         if len(message.body) >= 3:
-            self._note("received", crossing(message.call_id), -1)
+            self._note("received", message_id(message.call_id), -1)
             self.controller.peer_report_received(now, message.body)
 
     # --- memory over restarts --------------------------------------------------------------------------------
@@ -961,13 +961,13 @@
         self._note("remark", text)
 
     def _note(self, name: str, *fields: Any) -> None:
-        if self.tape is not None:
-            self.tape.note(name, self.now, *fields)
+        if self.trace_buffer is not None:
+            self.trace_buffer.note(name, self.now, *fields)
 
     def _came_by(self, call: Call, message: Message) -> None:
         """The proxy that sent a dialog here stands first or, behind its tandem, second on the way it came."""
         for via in [via_of(value) for value in message.all("Via")[:2]]:
-            call.crossing = crossing(via.branch)
+            call.crossing = message_id(via.branch)
             self._note("received", call.crossing, call.index)
 
     # --- small parts -------------------------------------------------------------------------------------
--- a/tests/test_restart_state.py
+++ b/tests/test_restart_state.py
@@ -15,7 +15,7 @@
 from gingergap.store.proxy_state import ListedExchange, StateRecorder, age_of, restore_state
 from gingergap.store.record_store import RecordStore
 from gingergap.store.records import ALIVE, CALLER, EXCHANGE, PAIR, STANDING, TOKEN, DialogRecord, HeartbeatRecord, encode_key
-from gingergap.trace.replay import learned_of
+from gingergap.trace.replay import learned_from_lists
 
 MINUTE = 60 * SECOND
 
@@ -212,7 +212,7 @@
 def test_no_restored_state_excludes_a_destination_for_good(known, age):
     now = 10**9
     controller, host = make_controller(now)
-    controller.restore(now, learned_of([known.now, *known[1:]]), age)
+    controller.restore(now, learned_from_lists([known.now, *known[1:]]), age)
     for exchange in controller.exchanges.values():
         assert exchange.overloaded_until <= now + 2 * SECOND and exchange.cold_blocked_until <= now + 2 * SECOND
         group = exchange.group
