--- a/gingergap/edge/calls.py
+++ b/gingergap/edge/calls.py
@@ -4,7 +4,7 @@
 
 from ..host import LegEnd
 from ..sip.message import Message
-from ..sip.transactions import Client, Server
+from ..sip.transactions import ClientTransaction, Server
 
 
 class Leg:
@@ -15,7 +15,7 @@
     def __init__(self, call: "Call", gw: int, far: int, place: int, serial: int, started: int) -> None:
         self.call, self.gw, self.far, self.place, self.serial = call, gw, far, place, serial
         self.started = started
-        self.client: Client | None = None
+        self.client: ClientTransaction | None = None
         self.given_up = self.over = False
         self.tag = ""  # the To tag of the 2xx that counts
         self.crossing = b""  # by which the next proxy's trace names it
@@ -88,7 +88,7 @@
 
     def __init__(self, server: Server) -> None:
         self.server = server
-        self.client: Client | None = None
+        self.client: ClientTransaction | None = None
 
 
 class Asked:
--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -17,7 +17,7 @@
 from ..sip.dialogs import next_hop, release_of
 from ..sip.fields import address_of, host_port, seconds_of, tag_of, top_via, uri_of, via_of
 from ..sip.message import BadMessageError, Message, response
-from ..sip.transactions import MAGIC, Client, Hop, Lost, Server, Transactions, Wire
+from ..sip.transactions import MAGIC, ClientTransaction, Hop, Lost, Server, Transactions, Wire
 from ..store.audit import Audit
 from ..store.memory import Memory, Recalled, Word
 from ..store.records import KeptStanding
@@ -82,7 +82,7 @@
         self.watching = Watching(lasts, 2 * SECOND)
         self.call_id = self.tag = self.to = ""
         self.cseq = 0
-        self.client: Client | None = None
+        self.client: ClientTransaction | None = None
         self.again_at: int | None = None
 
 
@@ -298,7 +298,7 @@
         self._count("transactions full")
         self.transactions.stateless(message, 503, self._still_tag(message), hop, [("Retry-After", "1")])
 
-    def response_came(self, now: int, client: Client, message: Message) -> None:
+    def response_came(self, now: int, client: ClientTransaction, message: Message) -> None:
         owner = client.owner
         if type(owner) is Leg:
             self._leg_answered(now, owner, message)
@@ -320,7 +320,7 @@
         else:
             self._release(now, message)
 
-    def client_lost(self, now: int, client: Client, how: Lost) -> None:
+    def client_lost(self, now: int, client: ClientTransaction, how: Lost) -> None:
         owner = client.owner
         if type(owner) is Leg:
             if owner.over:
@@ -711,7 +711,7 @@
         hop = self.hops[ex.gw] if ex is not None else None
         return None if hop is None else Hop("UDP", hop.host, hop.port)
 
-    def _subscribe_answered(self, now: int, sub: Subscriber, client: Client, message: Message) -> None:
+    def _subscribe_answered(self, now: int, sub: Subscriber, client: ClientTransaction, message: Message) -> None:
         if client is not sub.client:
             return
         if message.status >= 300:
--- a/gingergap/sip/transactions.py
+++ b/gingergap/sip/transactions.py
@@ -74,7 +74,7 @@
         """An INVITE server transaction whose final answer was never acknowledged (Timer H)."""
 
 
-class Client:
+class ClientTransaction:
     """A client transaction. `owner` is the user's own."""
 
     __slots__ = (
@@ -160,10 +160,10 @@
         self.user, self.wire, self.sent_by, self.most = user, wire, sent_by, most
         self.t1, self.t2, self.t4 = t1, t2, t4
         self.timer_d = TIMER_D * t1 // T1
-        self.clients: dict[tuple[str, str], Client] = {}
+        self.clients: dict[tuple[str, str], ClientTransaction] = {}
         self.servers: dict[tuple[str, str, str], Server] = {}
-        self.by_hop: dict[tuple[str, str, int], dict[Client, None]] = {}  # those without a final response
-        self.heap: list[tuple[int, int, Client | Server, str]] = []
+        self.by_hop: dict[tuple[str, str, int], dict[ClientTransaction, None]] = {}  # those without a final response
+        self.heap: list[tuple[int, int, ClientTransaction | Server, str]] = []
         self.count = 0
 
     # --- what can happen ---
@@ -191,7 +191,7 @@
             _, seq, txn, name = heappop(heap)
             if txn.seqs.get(name) == seq:
                 del txn.seqs[name]
-                if type(txn) is Client:
+                if type(txn) is ClientTransaction:
                     self._client_timer(now, txn, name)
                 else:
                     self._server_timer(now, txn, name)
@@ -204,11 +204,11 @@
 
     # --- what the user asks for ---
 
-    def request(self, now: int, message: Message, hop: Hop, branch: str, owner: Any = None) -> Client:
+    def request(self, now: int, message: Message, hop: Hop, branch: str, owner: Any = None) -> ClientTransaction:
         """Open a client transaction. The message gets its Via here; its other fields are the user's."""
         host, port = self.sent_by
         message.push("Via", f"SIP/2.0/{hop.transport} {host}:{port};branch={branch};rport")
-        client = Client(branch, message, hop, owner, now)
+        client = ClientTransaction(branch, message, hop, owner, now)
         client.data = bytes(message)
         self._open(client)
         if hop.transport == "UDP":
@@ -246,7 +246,7 @@
                 server.request = None
                 self._set(now + (64 * self.t1 if server.hop.transport == "UDP" else 0), server, "end")
 
-    def cancel(self, now: int, client: Client) -> None:
+    def cancel(self, now: int, client: ClientTransaction) -> None:
         """Give an INVITE up (section 9.1). Without a provisional response CANCEL has to wait for one;
         the INVITE is not sent again meanwhile."""
         if client.cancelled or client.state not in (State.CALLING, State.PROCEEDING):
@@ -340,7 +340,7 @@
             self._set(now + (self.t4 if client.hop.transport == "UDP" else 0), client, "end")
             self.user.response_came(now, client, message)
 
-    def _invite_response(self, now: int, client: Client, message: Message) -> None:
+    def _invite_response(self, now: int, client: ClientTransaction, message: Message) -> None:
         status, state = message.status, client.state
         if status < 200:
             if state == State.CALLING:
@@ -369,7 +369,7 @@
         elif state == State.COMPLETED:
             self.wire.transmit(client.data, client.hop)
 
-    def _ack_of(self, client: Client, message: Message) -> Message:
+    def _ack_of(self, client: ClientTransaction, message: Message) -> Message:
         """The ACK of a failure (section 17.1.1.3)."""
         request = client.request
         ack = Message("ACK", request.uri)
@@ -385,7 +385,7 @@
         ]
         return ack
 
-    def _send_cancel(self, now: int, client: Client) -> None:
+    def _send_cancel(self, now: int, client: ClientTransaction) -> None:
         request = client.request
         number, _ = request.cseq()
         cancel = Message("CANCEL", request.uri)
@@ -398,7 +398,7 @@
             ("CSeq", f"{number} CANCEL"),
             ("Max-Forwards", "70"),
         ]
-        called_off = Client(client.branch, cancel, client.hop, None, now)
+        called_off = ClientTransaction(client.branch, cancel, client.hop, None, now)
         called_off.data = bytes(cancel)
         self._open(called_off)
         if client.hop.transport == "UDP":
@@ -408,7 +408,7 @@
         self._set(now + 64 * self.t1, client, "timeout")  # section 9.1: then the INVITE counts as cancelled
         self.wire.transmit(called_off.data, client.hop)
 
-    def _client_timer(self, now: int, client: Client, name: str) -> None:
+    def _client_timer(self, now: int, client: ClientTransaction, name: str) -> None:
         if name == "again":  # Timer A doubles, Timer E doubles up to T2
             self.wire.transmit(client.data, client.hop)
             client.gap = 2 * client.gap if client.method == "INVITE" else min(2 * client.gap, self.t2)
@@ -419,16 +419,16 @@
             self._close(client)
             client.owner = None  # the owner holds the client: without a ring no collector has to look for it
 
-    def _lost(self, now: int, client: Client, how: Lost) -> None:
+    def _lost(self, now: int, client: ClientTransaction, how: Lost) -> None:
         self._close(client)
         self.user.client_lost(now, client, how)
         client.owner = None
 
-    def _open(self, client: Client) -> None:
+    def _open(self, client: ClientTransaction) -> None:
         self.clients[client.branch, client.method] = client
         self.by_hop.setdefault(client.hop[:3], {})[client] = None
 
-    def _final(self, client: Client, state: State) -> None:
+    def _final(self, client: ClientTransaction, state: State) -> None:
         """A final response came, or none will: nothing that befalls its hop concerns it any more."""
         client.state = state
         client.seqs.clear()
@@ -438,12 +438,12 @@
             if not waiting:
                 del self.by_hop[client.hop[:3]]
 
-    def _close(self, client: Client) -> None:
+    def _close(self, client: ClientTransaction) -> None:
         self._final(client, State.TERMINATED)
         if self.clients.get((client.branch, client.method)) is client:
             del self.clients[client.branch, client.method]
 
-    def _set(self, when: int, txn: Client | Server, name: str) -> None:
+    def _set(self, when: int, txn: ClientTransaction | Server, name: str) -> None:
         self.count += 1
         txn.seqs[name] = self.count
         heappush(self.heap, (when, self.count, txn, name))
--- a/gingergap/standins/caller.py
+++ b/gingergap/standins/caller.py
@@ -17,7 +17,7 @@
 from ..sip.dialogs import SipDialog, next_hop
 from ..sip.fields import reason_of, seconds_of, tag_of
 from ..sip.message import Message, response
-from ..sip.transactions import MAGIC, Client, Hop, Lost, Server, State
+from ..sip.transactions import MAGIC, ClientTransaction, Hop, Lost, Server, State
 from .capture import Capture, HarmfulGate
 from .element import Element, units
 from .exchange import BODY
@@ -183,7 +183,7 @@
 
     # --- sockets and transactions ---
 
-    def response_came(self, now: int, client: Client, message: Message) -> None:
+    def response_came(self, now: int, client: ClientTransaction, message: Message) -> None:
         attempt = client.owner
         if not isinstance(attempt, Try) or message.status < 200:
             return
@@ -222,7 +222,7 @@
         else:
             self.transactions.respond(now, server, response(message, 481 if message.method == "BYE" else 405, "x"))
 
-    def client_lost(self, now: int, client: Client, how: Lost) -> None:
+    def client_lost(self, now: int, client: ClientTransaction, how: Lost) -> None:
         if isinstance(client.owner, Try):
             client.owner.answered.set()
 
--- a/gingergap/standins/element.py
+++ b/gingergap/standins/element.py
@@ -5,7 +5,7 @@
 import gevent
 
 from ..sip.message import BadMessageError, Message
-from ..sip.transactions import Client, Hop, Lost, Server, Transactions
+from ..sip.transactions import ClientTransaction, Hop, Lost, Server, Transactions
 from ..transport.sockets import Sockets
 from .capture import HarmfulGate
 
@@ -58,13 +58,13 @@
     def door_shut(self, now: int, message: Message, hop: Hop) -> None:
         self.transactions.stateless(message, 503, "full", hop)
 
-    def response_came(self, now: int, client: Client, message: Message) -> None:
+    def response_came(self, now: int, client: ClientTransaction, message: Message) -> None:
         pass
 
     def stray_response(self, now: int, message: Message) -> None:
         pass
 
-    def client_lost(self, now: int, client: Client, how: Lost) -> None:
+    def client_lost(self, now: int, client: ClientTransaction, how: Lost) -> None:
         pass
 
     def server_lost(self, now: int, server: Server) -> None:
--- a/gingergap/standins/exchange.py
+++ b/gingergap/standins/exchange.py
@@ -20,7 +20,7 @@
 from ..sip.dialogs import SipDialog, next_hop
 from ..sip.fields import address_of, params_of, q850, tag_of, top_via, uri_of
 from ..sip.message import BadMessageError, Message, response
-from ..sip.transactions import MAGIC, Client, Hop, Lost, Server, stamp_via
+from ..sip.transactions import MAGIC, ClientTransaction, Hop, Lost, Server, stamp_via
 from .capture import Capture, HarmfulGate
 from .circuits import SharedCircuits
 from .element import Element, units
@@ -538,10 +538,10 @@
         if held is not None:
             held.acked = True
 
-    def response_came(self, now: int, client: Client, message: Message) -> None:
+    def response_came(self, now: int, client: ClientTransaction, message: Message) -> None:
         self.notifier.answered(client, message)
 
-    def client_lost(self, now: int, client: Client, how: Lost) -> None:
+    def client_lost(self, now: int, client: ClientTransaction, how: Lost) -> None:
         self.notifier.lost(client)
 
 
--- a/gingergap/standins/exchange_list.py
+++ b/gingergap/standins/exchange_list.py
@@ -8,7 +8,7 @@
 import gevent
 
 from ..sip.message import Message, response
-from ..sip.transactions import Client, Hop, Lost, Server
+from ..sip.transactions import ClientTransaction, Hop, Lost, Server
 from .capture import Capture, HarmfulGate
 from .element import Element, units
 from .notifier import Notifier
@@ -66,10 +66,10 @@
         else:
             self.transactions.respond(now, server, response(message, 405, secrets.token_hex(4)))
 
-    def response_came(self, now: int, client: Client, message: Message) -> None:
+    def response_came(self, now: int, client: ClientTransaction, message: Message) -> None:
         self.notifier.answered(client, message)
 
-    def client_lost(self, now: int, client: Client, how: Lost) -> None:
+    def client_lost(self, now: int, client: ClientTransaction, how: Lost) -> None:
         self.notifier.lost(client)
 
 
--- a/gingergap/standins/notifier.py
+++ b/gingergap/standins/notifier.py
@@ -7,7 +7,7 @@
 from ..sip.dialogs import SipDialog, next_hop
 from ..sip.fields import seconds_of
 from ..sip.message import BadMessageError, Message, response
-from ..sip.transactions import MAGIC, Client, Server, Transactions
+from ..sip.transactions import MAGIC, ClientTransaction, Server, Transactions
 
 SECOND = 10_000
 
@@ -64,12 +64,12 @@
             else:
                 self._notify(now, subscription, "partial", list(lines.values()))
 
-    def lost(self, client: Client) -> None:
+    def lost(self, client: ClientTransaction) -> None:
         """A NOTIFY that nobody answered ends its subscription."""
         if isinstance(client.owner, Subscription):
             self.subscriptions.pop(client.owner.key, None)
 
-    def answered(self, client: Client, message: Message) -> None:
+    def answered(self, client: ClientTransaction, message: Message) -> None:
         if isinstance(client.owner, Subscription) and message.status >= 300:
             self.subscriptions.pop(client.owner.key, None)
 
