--- a/gingergap/edge/calls.py
+++ b/gingergap/edge/calls.py
@@ -4,7 +4,7 @@
 
 from ..host import LegEnd
 from ..sip.message import Message
-from ..sip.transactions import ClientTransaction, Server
+from ..sip.transactions import ClientTransaction, ServerTransaction
 
 
 class Leg:
@@ -49,7 +49,7 @@
     def __init__(
         self,
         index: int,
-        server: Server,
+        server: ServerTransaction,
         invite: Message,
         kind: int,
         width: int,
@@ -86,7 +86,7 @@
 
     __slots__ = ("server", "client")
 
-    def __init__(self, server: Server) -> None:
+    def __init__(self, server: ServerTransaction) -> None:
         self.server = server
         self.client: ClientTransaction | None = None
 
--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -17,7 +17,7 @@
 from ..sip.dialogs import next_hop, release_of
 from ..sip.fields import address_of, host_port, seconds_of, tag_of, top_via, uri_of, via_of
 from ..sip.message import BadMessageError, Message, response
-from ..sip.transactions import MAGIC, ClientTransaction, Hop, Lost, Server, Transactions, Wire
+from ..sip.transactions import MAGIC, ClientTransaction, Hop, Lost, ServerTransaction, Transactions, Wire
 from ..store.audit import Audit
 from ..store.memory import Memory, Recalled, Word
 from ..store.records import KeptStanding
@@ -253,7 +253,7 @@
 
     # --- what can happen: the transactions' user ----------------------------------------------------------
 
-    def request_came(self, now: int, server: Server, message: Message) -> None:
+    def request_came(self, now: int, server: ServerTransaction, message: Message) -> None:
         method = message.method
         if method == "INVITE" and not tag_of(message.get("To")):
             self._invited(now, server, message)
@@ -339,12 +339,12 @@
         elif type(owner) is int:
             self.messages_out[owner] -= 1
 
-    def server_lost(self, now: int, server: Server) -> None:
+    def server_lost(self, now: int, server: ServerTransaction) -> None:
         self._count("answer never acknowledged")
 
     # --- a dialog comes ----------------------------------------------------------------------------------
 
-    def _invited(self, now: int, server: Server, message: Message) -> None:
+    def _invited(self, now: int, server: ServerTransaction, message: Message) -> None:
         try:
             told = words.marks_of(message)
             expires = words.time_left(message, told, self.default_expires)
@@ -390,7 +390,7 @@
         self.transactions.respond(now, server, response(message, 100))
         self.controller.dialog_came(now, call.index, kind, far, call.width, number, expires, told.transit, told.redialled, told.cut)
 
-    def _cancelled(self, now: int, server: Server, message: Message) -> None:
+    def _cancelled(self, now: int, server: ServerTransaction, message: Message) -> None:
         branch, sent_by, _ = server.key
         invited = self.transactions.servers.get((branch, sent_by, "INVITE"))
         if invited is None:
@@ -611,7 +611,7 @@
 
     # --- within dialogs ----------------------------------------------------------------------------------
 
-    def _within_dialog(self, now: int, server: Server, message: Message) -> None:
+    def _within_dialog(self, now: int, server: ServerTransaction, message: Message) -> None:
         try:
             onward = self._prepared(message)
             if self._is_own(onward):
@@ -724,7 +724,7 @@
         sub.to = message.get("To")
         sub.watching.granted(now, min(lasts, sub.watching.lasts))
 
-    def _notified(self, now: int, server: Server, message: Message) -> None:
+    def _notified(self, now: int, server: ServerTransaction, message: Message) -> None:
         sub = self.subscribers.get(message.get("Event").partition(";")[0].strip())
         if sub is None:
             self._answer(now, server, 489)
@@ -819,7 +819,7 @@
             if held == number and gw in self.controller.gws:
                 self.controller.group_told(now, gw, free, size)
 
-    def _told(self, now: int, server: Server, message: Message) -> None:
+    def _told(self, now: int, server: ServerTransaction, message: Message) -> None:
         """Another proxy's word; one that is too short says nothing."""
         self._answer(now, server, 200)
         if len(message.body) >= 3:
@@ -978,7 +978,7 @@
         self.numbers[gw] = number
         return gw
 
-    def _answer(self, now: int, server: Server, status: int, fields: list[tuple[str, str]] | None = None) -> None:
+    def _answer(self, now: int, server: ServerTransaction, status: int, fields: list[tuple[str, str]] | None = None) -> None:
         if server.request is not None:
             self.transactions.respond(now, server, response(server.request, status, self._still_tag(server.request), fields or ()))
 
--- a/gingergap/sip/transactions.py
+++ b/gingergap/sip/transactions.py
@@ -105,7 +105,7 @@
         self.data = b""
 
 
-class Server:
+class ServerTransaction:
     """A server transaction."""
 
     __slots__ = ("key", "method", "request", "hop", "state", "owner", "gap", "seqs", "last", "acked")
@@ -161,9 +161,9 @@
         self.t1, self.t2, self.t4 = t1, t2, t4
         self.timer_d = TIMER_D * t1 // T1
         self.clients: dict[tuple[str, str], ClientTransaction] = {}
-        self.servers: dict[tuple[str, str, str], Server] = {}
+        self.servers: dict[tuple[str, str, str], ServerTransaction] = {}
         self.by_hop: dict[tuple[str, str, int], dict[ClientTransaction, None]] = {}  # those without a final response
-        self.heap: list[tuple[int, int, ClientTransaction | Server, str]] = []
+        self.heap: list[tuple[int, int, ClientTransaction | ServerTransaction, str]] = []
         self.count = 0
 
     # --- what can happen ---
@@ -218,7 +218,7 @@
         self.wire.transmit(client.data, hop)
         return client
 
-    def respond(self, now: int, server: Server, message: Message) -> None:
+    def respond(self, now: int, server: ServerTransaction, message: Message) -> None:
         """Send a response on a server transaction, as its machine allows; others are dropped."""
         state, status = server.state, message.status
         if server.method == "INVITE":
@@ -287,11 +287,11 @@
         if len(self.servers) >= self.most:
             self.user.door_shut(now, message, hop)
             return
-        server = Server(key, message, answer_hop(via, hop))
+        server = ServerTransaction(key, message, answer_hop(via, hop))
         self.servers[key] = server
         self.user.request_came(now, server, message)
 
-    def _ack(self, now: int, server: Server, message: Message, hop: Hop) -> None:
+    def _ack(self, now: int, server: ServerTransaction, message: Message, hop: Hop) -> None:
         if server.state == State.COMPLETED:
             server.state = State.CONFIRMED
             server.seqs.clear()
@@ -299,7 +299,7 @@
         elif server.state == State.ACCEPTED:
             self.user.ack_came(now, message, hop)
 
-    def _server_timer(self, now: int, server: Server, name: str) -> None:
+    def _server_timer(self, now: int, server: ServerTransaction, name: str) -> None:
         if name == "again":  # Timer G
             self.wire.transmit(server.last, server.hop)
             server.gap = min(2 * server.gap, self.t2)
@@ -443,7 +443,7 @@
         if self.clients.get((client.branch, client.method)) is client:
             del self.clients[client.branch, client.method]
 
-    def _set(self, when: int, txn: ClientTransaction | Server, name: str) -> None:
+    def _set(self, when: int, txn: ClientTransaction | ServerTransaction, name: str) -> None:
         self.count += 1
         txn.seqs[name] = self.count
         heappush(self.heap, (when, self.count, txn, name))
--- a/gingergap/standins/caller.py
+++ b/gingergap/standins/caller.py
@@ -17,7 +17,7 @@
 from ..sip.dialogs import SipDialog, next_hop
 from ..sip.fields import reason_of, seconds_of, tag_of
 from ..sip.message import Message, response
-from ..sip.transactions import MAGIC, ClientTransaction, Hop, Lost, Server, State
+from ..sip.transactions import MAGIC, ClientTransaction, Hop, Lost, ServerTransaction, State
 from .capture import Capture, HarmfulGate
 from .element import Element, units
 from .exchange import BODY
@@ -212,7 +212,7 @@
         if attempt is not None and attempt.ack is not None:
             self.sockets.transmit(bytes(attempt.ack), next_hop(attempt.ack))
 
-    def request_came(self, now: int, server: Server, message: Message) -> None:
+    def request_came(self, now: int, server: ServerTransaction, message: Message) -> None:
         attempt = self.tries.get((message.call_id, tag_of(message.get("To"))))
         if message.method == "BYE" and attempt is not None:
             self.transactions.respond(now, server, response(message, 200))
--- a/gingergap/standins/element.py
+++ b/gingergap/standins/element.py
@@ -5,7 +5,7 @@
 import gevent
 
 from ..sip.message import BadMessageError, Message
-from ..sip.transactions import ClientTransaction, Hop, Lost, Server, Transactions
+from ..sip.transactions import ClientTransaction, Hop, Lost, ServerTransaction, Transactions
 from ..transport.sockets import Sockets
 from .capture import HarmfulGate
 
@@ -49,7 +49,7 @@
     def hop_failed(self, hop: Hop, reset: bool) -> None:
         self.transactions.hop_failed(units(), hop, reset)
 
-    def request_came(self, now: int, server: Server, message: Message) -> None:
+    def request_came(self, now: int, server: ServerTransaction, message: Message) -> None:
         pass
 
     def ack_came(self, now: int, message: Message, hop: Hop) -> None:
@@ -67,5 +67,5 @@
     def client_lost(self, now: int, client: ClientTransaction, how: Lost) -> None:
         pass
 
-    def server_lost(self, now: int, server: Server) -> None:
+    def server_lost(self, now: int, server: ServerTransaction) -> None:
         pass
--- a/gingergap/standins/exchange.py
+++ b/gingergap/standins/exchange.py
@@ -20,7 +20,7 @@
 from ..sip.dialogs import SipDialog, next_hop
 from ..sip.fields import address_of, params_of, q850, tag_of, top_via, uri_of
 from ..sip.message import BadMessageError, Message, response
-from ..sip.transactions import MAGIC, ClientTransaction, Hop, Lost, Server, stamp_via
+from ..sip.transactions import MAGIC, ClientTransaction, Hop, Lost, ServerTransaction, stamp_via
 from .capture import Capture, HarmfulGate
 from .circuits import SharedCircuits
 from .element import Element, units
@@ -41,7 +41,7 @@
         self.source, self.width, self.since, self.transit = source, width, since, transit
         self.stands = self.released = self.acked = False
         self.dialog: SipDialog | None = None
-        self.server: Server | None = None
+        self.server: ServerTransaction | None = None
         self.answer: Message | None = None
 
 
@@ -426,7 +426,7 @@
 
     # --- the transactions' user ---
 
-    def request_came(self, now: int, server: Server, message: Message) -> None:
+    def request_came(self, now: int, server: ServerTransaction, message: Message) -> None:
         if message.method == "INVITE":
             self._invited(now, server, message)
         elif message.method == "SUBSCRIBE":
@@ -448,7 +448,7 @@
         else:
             self.transactions.respond(now, server, response(message, 405, "no"))
 
-    def _probed(self, server: Server, message: Message) -> None:
+    def _probed(self, server: ServerTransaction, message: Message) -> None:
         """A probe under a lease is answered if its token is not older than the newest seen here (412, RFC 3903)."""
         duty, _, rest = message.get("Gingergap-Duty").partition(";")
         params = params_of(rest)
@@ -468,7 +468,7 @@
                 return
         self.transactions.respond(units(), server, response(message, 200, "probe"))
 
-    def _invited(self, now: int, server: Server, message: Message) -> None:
+    def _invited(self, now: int, server: ServerTransaction, message: Message) -> None:
         self._arrived()
         key = message.call_id, tag_of(message.get("From"))
         if not self._seize(
@@ -523,7 +523,7 @@
     def _tag(self, key: tuple[str, str]) -> str:
         return blake2s(f"{self.life.id} {self.life.born} {key}".encode("utf-8", "replace"), digest_size=5).hexdigest()
 
-    def _cancelled(self, now: int, server: Server, message: Message) -> None:
+    def _cancelled(self, now: int, server: ServerTransaction, message: Message) -> None:
         branch, sent_by, _ = server.key
         invited = self.transactions.servers.get((branch, sent_by, "INVITE"))
         self.transactions.respond(now, server, response(message, 200 if invited else 481, "cancel"))
--- a/gingergap/standins/exchange_list.py
+++ b/gingergap/standins/exchange_list.py
@@ -8,7 +8,7 @@
 import gevent
 
 from ..sip.message import Message, response
-from ..sip.transactions import ClientTransaction, Hop, Lost, Server
+from ..sip.transactions import ClientTransaction, Hop, Lost, ServerTransaction
 from .capture import Capture, HarmfulGate
 from .element import Element, units
 from .notifier import Notifier
@@ -60,7 +60,7 @@
             gevent.sleep(max(0.0, self.epoch + when - time.monotonic()))
             self.notifier.changed(units(), {name: self._line(name, number, state, started)})
 
-    def request_came(self, now: int, server: Server, message: Message) -> None:
+    def request_came(self, now: int, server: ServerTransaction, message: Message) -> None:
         if message.method == "SUBSCRIBE":
             self.notifier.subscribe(now, server, message)
         else:
--- a/gingergap/standins/notifier.py
+++ b/gingergap/standins/notifier.py
@@ -7,7 +7,7 @@
 from ..sip.dialogs import SipDialog, next_hop
 from ..sip.fields import seconds_of
 from ..sip.message import BadMessageError, Message, response
-from ..sip.transactions import MAGIC, ClientTransaction, Server, Transactions
+from ..sip.transactions import MAGIC, ClientTransaction, ServerTransaction, Transactions
 
 SECOND = 10_000
 
@@ -30,7 +30,7 @@
         self.lines: dict[object, dict[str, object]] = {}
         self.subscriptions: dict[str, Subscription] = {}
 
-    def subscribe(self, now: int, server: Server, message: Message) -> None:
+    def subscribe(self, now: int, server: ServerTransaction, message: Message) -> None:
         """A SUBSCRIBE, the first or one that refreshes: answered, and the full state sent at once."""
         try:
             lasts = min(seconds_of(message, "Expires", self.longest), self.longest)
