--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -17,7 +17,7 @@
 from ..sip.dialogs import next_hop, release_of
 from ..sip.fields import address_of, host_port, seconds_of, tag_of, top_via, uri_of, via_of
 from ..sip.message import BadMessageError, Message, response
-from ..sip.transactions import MAGIC, ClientTransaction, Hop, Lost, ServerTransaction, Transactions, Wire
+from ..sip.transactions import MAGIC, ClientFailure, ClientTransaction, Hop, ServerTransaction, Transactions, Wire
 from ..store.audit import Audit
 from ..store.memory import Memory, Recalled, Word
 from ..store.records import KeptStanding
@@ -320,17 +320,21 @@
         else:
             self._release(now, message)
 
-    def client_lost(self, now: int, client: ClientTransaction, how: Lost) -> None:
+    def client_lost(self, now: int, client: ClientTransaction, how: ClientFailure) -> None:
         owner = client.owner
         if type(owner) is Leg:
             if owner.over:
-                if how == Lost.RESET and owner.given_up and not owner.call.answered:
+                if how == ClientFailure.RESET and owner.given_up and not owner.call.answered:
                     self.controller.leg_cut_late(now, owner.call.index)
                 return
-            end = {Lost.TIMEOUT: LegEnd.NO_ANSWER, Lost.UNREACHABLE: LegEnd.UNREACHABLE, Lost.RESET: LegEnd.CUT}[how]
+            end = {
+                ClientFailure.TIMEOUT: LegEnd.NO_ANSWER,
+                ClientFailure.UNREACHABLE: LegEnd.UNREACHABLE,
+                ClientFailure.RESET: LegEnd.CUT,
+            }[how]
             self.soon.append((owner, end, 0))
         elif type(owner) is Onward:
-            self._answer(now, owner.server, 408 if how == Lost.TIMEOUT else 503)
+            self._answer(now, owner.server, 408 if how == ClientFailure.TIMEOUT else 503)
         elif type(owner) is Subscriber:
             if client is owner.client:
                 self._subscribe(now, owner, owner.watching.refused(now))
--- a/gingergap/sip/transactions.py
+++ b/gingergap/sip/transactions.py
@@ -38,7 +38,7 @@
     TERMINATED = 6
 
 
-class Lost(IntEnum):
+class ClientFailure(IntEnum):
     """Why a client transaction ended without a final response."""
 
     TIMEOUT = 0
@@ -67,7 +67,7 @@
     def stray_response(self, now: int, message: Message) -> None:
         """A 2xx to INVITE of which no transaction is known any more."""
 
-    def client_lost(self, now: int, client: "Client", how: Lost) -> None:
+    def client_lost(self, now: int, client: "Client", how: ClientFailure) -> None:
         """A client transaction ended without a final response."""
 
     def server_lost(self, now: int, server: "Server") -> None:
@@ -182,7 +182,7 @@
         for client in list(self.by_hop.get(hop[:3], ())):
             if hop.transport == "UDP" and client.heard:
                 continue
-            self._lost(now, client, Lost.RESET if reset else Lost.UNREACHABLE)
+            self._lost(now, client, ClientFailure.RESET if reset else ClientFailure.UNREACHABLE)
 
     def due(self, now: int) -> None:
         """Fire all timers up to now."""
@@ -414,12 +414,12 @@
             client.gap = 2 * client.gap if client.method == "INVITE" else min(2 * client.gap, self.t2)
             self._set(now + client.gap, client, "again")
         elif name == "timeout":  # Timer B or F
-            self._lost(now, client, Lost.TIMEOUT)
+            self._lost(now, client, ClientFailure.TIMEOUT)
         else:
             self._close(client)
             client.owner = None  # the owner holds the client: without a ring no collector has to look for it
 
-    def _lost(self, now: int, client: ClientTransaction, how: Lost) -> None:
+    def _lost(self, now: int, client: ClientTransaction, how: ClientFailure) -> None:
         self._close(client)
         self.user.client_lost(now, client, how)
         client.owner = None
--- a/gingergap/standins/caller.py
+++ b/gingergap/standins/caller.py
@@ -17,7 +17,7 @@
 from ..sip.dialogs import SipDialog, next_hop
 from ..sip.fields import reason_of, seconds_of, tag_of
 from ..sip.message import Message, response
-from ..sip.transactions import MAGIC, ClientTransaction, Hop, Lost, ServerTransaction, State
+from ..sip.transactions import MAGIC, ClientFailure, ClientTransaction, Hop, ServerTransaction, State
 from .capture import Capture, HarmfulGate
 from .element import Element, units
 from .exchange import BODY
@@ -222,7 +222,7 @@
         else:
             self.transactions.respond(now, server, response(message, 481 if message.method == "BYE" else 405, "x"))
 
-    def client_lost(self, now: int, client: ClientTransaction, how: Lost) -> None:
+    def client_lost(self, now: int, client: ClientTransaction, how: ClientFailure) -> None:
         if isinstance(client.owner, Try):
             client.owner.answered.set()
 
--- a/gingergap/standins/element.py
+++ b/gingergap/standins/element.py
@@ -5,7 +5,7 @@
 import gevent
 
 from ..sip.message import BadMessageError, Message
-from ..sip.transactions import ClientTransaction, Hop, Lost, ServerTransaction, Transactions
+from ..sip.transactions import ClientFailure, ClientTransaction, Hop, ServerTransaction, Transactions
 from ..transport.sockets import Sockets
 from .capture import HarmfulGate
 
@@ -64,7 +64,7 @@
     def stray_response(self, now: int, message: Message) -> None:
         pass
 
-    def client_lost(self, now: int, client: ClientTransaction, how: Lost) -> None:
+    def client_lost(self, now: int, client: ClientTransaction, how: ClientFailure) -> None:
         pass
 
     def server_lost(self, now: int, server: ServerTransaction) -> None:
--- a/gingergap/standins/exchange.py
+++ b/gingergap/standins/exchange.py
@@ -20,7 +20,7 @@
 from ..sip.dialogs import SipDialog, next_hop
 from ..sip.fields import address_of, params_of, q850, tag_of, top_via, uri_of
 from ..sip.message import BadMessageError, Message, response
-from ..sip.transactions import MAGIC, ClientTransaction, Hop, Lost, ServerTransaction, stamp_via
+from ..sip.transactions import MAGIC, ClientFailure, ClientTransaction, Hop, ServerTransaction, stamp_via
 from .capture import Capture, HarmfulGate
 from .circuits import SharedCircuits
 from .element import Element, units
@@ -541,7 +541,7 @@
     def response_came(self, now: int, client: ClientTransaction, message: Message) -> None:
         self.notifier.answered(client, message)
 
-    def client_lost(self, now: int, client: ClientTransaction, how: Lost) -> None:
+    def client_lost(self, now: int, client: ClientTransaction, how: ClientFailure) -> None:
         self.notifier.lost(client)
 
 
--- a/gingergap/standins/exchange_list.py
+++ b/gingergap/standins/exchange_list.py
@@ -8,7 +8,7 @@
 import gevent
 
 from ..sip.message import Message, response
-from ..sip.transactions import ClientTransaction, Hop, Lost, ServerTransaction
+from ..sip.transactions import ClientFailure, ClientTransaction, Hop, ServerTransaction
 from .capture import Capture, HarmfulGate
 from .element import Element, units
 from .notifier import Notifier
@@ -69,7 +69,7 @@
     def response_came(self, now: int, client: ClientTransaction, message: Message) -> None:
         self.notifier.answered(client, message)
 
-    def client_lost(self, now: int, client: ClientTransaction, how: Lost) -> None:
+    def client_lost(self, now: int, client: ClientTransaction, how: ClientFailure) -> None:
         self.notifier.lost(client)
 
 
--- a/tests/test_sip_transactions.py
+++ b/tests/test_sip_transactions.py
@@ -9,7 +9,7 @@
 
 from gingergap.sip.dialogs import SipDialog, next_hop, release_of
 from gingergap.sip.message import BadMessageError, Message, parse, response
-from gingergap.sip.transactions import T1, Hop, Lost, State, Transactions
+from gingergap.sip.transactions import T1, ClientFailure, Hop, State, Transactions
 
 PEER = Hop("UDP", "127.0.0.1", 6000)
 STREAM = Hop("TCP", "127.0.0.1", 6000, 4)
@@ -96,7 +96,7 @@
             count = len(noted.sent)
             at.append(now)
     assert at == gaps
-    assert [entry[0] for entry in noted.told] == [Lost.TIMEOUT]
+    assert [entry[0] for entry in noted.told] == [ClientFailure.TIMEOUT]
     assert not noted.transactions.clients and noted.transactions.next_due() is None
 
 
@@ -105,7 +105,7 @@
     noted = Noted()
     client_of(noted, method, STREAM)
     noted.run(0, 64 * T1)
-    assert len(noted.sent) == 1 and noted.told[0][0] == Lost.TIMEOUT
+    assert len(noted.sent) == 1 and noted.told[0][0] == ClientFailure.TIMEOUT
 
 
 def test_a_failure_is_acked_each_time_and_told_once():
@@ -144,7 +144,7 @@
     assert cancel.method == "CANCEL" and cancel.all("Via") == client.request.all("Via")
     assert cancel.cseq() == (1, "CANCEL")
     noted.run(100_100, 500_000)
-    assert Lost.TIMEOUT in [entry[0] for entry in noted.told] and not noted.transactions.clients
+    assert ClientFailure.TIMEOUT in [entry[0] for entry in noted.told] and not noted.transactions.clients
 
 
 @pytest.mark.parametrize("reset", [True, False])
@@ -153,7 +153,7 @@
     client_of(noted, hop=Hop("TCP", "127.0.0.1", 6000))
     other = noted.transactions.request(0, request("OPTIONS"), Hop("TCP", "127.0.0.1", 6001), "z9hG4bKo")
     noted.transactions.hop_failed(10, Hop("TCP", "127.0.0.1", 6000, 9), reset)
-    assert [entry[0] for entry in noted.told] == [Lost.RESET if reset else Lost.UNREACHABLE]
+    assert [entry[0] for entry in noted.told] == [ClientFailure.RESET if reset else ClientFailure.UNREACHABLE]
     assert list(noted.transactions.clients.values()) == [other]
 
 
@@ -309,7 +309,7 @@
         ends = [
             kind
             for kind, what in self.near.told
-            if what is self.client and (type(kind) is Lost or type(kind) is int and kind >= 300)
+            if what is self.client and (type(kind) is ClientFailure or type(kind) is int and kind >= 300)
         ]
         assert len(ends) <= 1
         assert (
