--- a/gingergap/sip/transactions.py
+++ b/gingergap/sip/transactions.py
@@ -26,7 +26,7 @@
     conn: int = 0
 
 
-class State(IntEnum):
+class TransactionState(IntEnum):
     """All states of the four machines; each machine uses some of them."""
 
     CALLING = 0
@@ -95,7 +95,7 @@
 
     def __init__(self, branch: str, request: Message, hop: Hop, owner: Any, now: int) -> None:
         self.branch, self.method, self.request, self.hop, self.owner = branch, request.method, request, hop, owner
-        self.state = State.CALLING if request.method == "INVITE" else State.TRYING
+        self.state = TransactionState.CALLING if request.method == "INVITE" else TransactionState.TRYING
         self.gap = 0
         self.seqs: dict[str, int] = {}  # timer: the number of its entry in the heap that still counts
         self.cancelled = False
@@ -112,7 +112,7 @@
 
     def __init__(self, key: tuple[str, str, str], request: Message, hop: Hop) -> None:
         self.key, self.method, self.request, self.hop = key, request.method, request, hop
-        self.state = State.PROCEEDING if request.method == "INVITE" else State.TRYING
+        self.state = TransactionState.PROCEEDING if request.method == "INVITE" else TransactionState.TRYING
         self.owner: Any = None
         self.gap = 0
         self.seqs: dict[str, int] = {}
@@ -222,37 +222,37 @@
         """Send a response on a server transaction, as its machine allows; others are dropped."""
         state, status = server.state, message.status
         if server.method == "INVITE":
-            if state == State.PROCEEDING:
+            if state == TransactionState.PROCEEDING:
                 server.last = bytes(message)
                 self.wire.transmit(server.last, server.hop)
                 if status >= 300:
-                    server.state = State.COMPLETED
+                    server.state = TransactionState.COMPLETED
                     if server.hop.transport == "UDP":
                         server.gap = self.t1
                         self._set(now + self.t1, server, "again")
                     self._set(now + 64 * self.t1, server, "unacked")
                 elif status >= 200:
-                    server.state = State.ACCEPTED
+                    server.state = TransactionState.ACCEPTED
                     server.last = b""
                     self._set(now + 64 * self.t1, server, "end")  # Timer L
-            elif state == State.ACCEPTED and 200 <= status < 300:
+            elif state == TransactionState.ACCEPTED and 200 <= status < 300:
                 self.wire.transmit(bytes(message), server.hop)
-        elif state in (State.TRYING, State.PROCEEDING):
+        elif state in (TransactionState.TRYING, TransactionState.PROCEEDING):
             server.last = bytes(message)
             self.wire.transmit(server.last, server.hop)
-            server.state = State.PROCEEDING
+            server.state = TransactionState.PROCEEDING
             if status >= 200:
-                server.state = State.COMPLETED
+                server.state = TransactionState.COMPLETED
                 server.request = None
                 self._set(now + (64 * self.t1 if server.hop.transport == "UDP" else 0), server, "end")
 
     def cancel(self, now: int, client: ClientTransaction) -> None:
         """Give an INVITE up (section 9.1). Without a provisional response CANCEL has to wait for one;
         the INVITE is not sent again meanwhile."""
-        if client.cancelled or client.state not in (State.CALLING, State.PROCEEDING):
+        if client.cancelled or client.state not in (TransactionState.CALLING, TransactionState.PROCEEDING):
             return
         client.cancelled = True
-        if client.state == State.CALLING:
+        if client.state == TransactionState.CALLING:
             client.seqs.pop("again", None)
         else:
             self._send_cancel(now, client)
@@ -277,7 +277,7 @@
         if server is not None:
             if message.method == "ACK":
                 self._ack(now, server, message, hop)
-            elif server.state in (State.PROCEEDING, State.COMPLETED) and server.last:
+            elif server.state in (TransactionState.PROCEEDING, TransactionState.COMPLETED) and server.last:
                 self.wire.transmit(server.last, server.hop)  # a retransmission
             return
         if message.method == "ACK":
@@ -292,11 +292,11 @@
         self.user.request_came(now, server, message)
 
     def _ack(self, now: int, server: ServerTransaction, message: Message, hop: Hop) -> None:
-        if server.state == State.COMPLETED:
-            server.state = State.CONFIRMED
+        if server.state == TransactionState.COMPLETED:
+            server.state = TransactionState.CONFIRMED
             server.seqs.clear()
             self._set(now + (self.t4 if server.hop.transport == "UDP" else 0), server, "end")
-        elif server.state == State.ACCEPTED:
+        elif server.state == TransactionState.ACCEPTED:
             self.user.ack_came(now, message, hop)
 
     def _server_timer(self, now: int, server: ServerTransaction, name: str) -> None:
@@ -305,7 +305,7 @@
             server.gap = min(2 * server.gap, self.t2)
             self._set(now + server.gap, server, "again")
         else:
-            server.state = State.TERMINATED
+            server.state = TransactionState.TERMINATED
             server.seqs.clear()
             self.servers.pop(server.key, None)
             if name == "unacked":  # Timer H
@@ -330,43 +330,43 @@
         client.heard = True
         if method == "INVITE":
             self._invite_response(now, client, message)
-        elif client.state in (State.TRYING, State.PROCEEDING):
+        elif client.state in (TransactionState.TRYING, TransactionState.PROCEEDING):
             if message.status < 200:
-                client.state = State.PROCEEDING
+                client.state = TransactionState.PROCEEDING
                 if "again" in client.seqs:  # Timer E goes on at T2
                     self._set(now + self.t2, client, "again")
                 return
-            self._final(client, State.COMPLETED)
+            self._final(client, TransactionState.COMPLETED)
             self._set(now + (self.t4 if client.hop.transport == "UDP" else 0), client, "end")
             self.user.response_came(now, client, message)
 
     def _invite_response(self, now: int, client: ClientTransaction, message: Message) -> None:
         status, state = message.status, client.state
         if status < 200:
-            if state == State.CALLING:
-                client.state = State.PROCEEDING
+            if state == TransactionState.CALLING:
+                client.state = TransactionState.PROCEEDING
                 client.seqs.clear()
                 if client.cancelled:
                     self._send_cancel(now, client)
-            if state in (State.CALLING, State.PROCEEDING):
+            if state in (TransactionState.CALLING, TransactionState.PROCEEDING):
                 self.user.response_came(now, client, message)
         elif status < 300:
-            if state in (State.CALLING, State.PROCEEDING):
-                self._final(client, State.ACCEPTED)
+            if state in (TransactionState.CALLING, TransactionState.PROCEEDING):
+                self._final(client, TransactionState.ACCEPTED)
                 client.data = b""
                 self._set(now + 64 * self.t1, client, "end")  # Timer M
                 self.user.response_came(now, client, message)
-            elif state == State.ACCEPTED:
+            elif state == TransactionState.ACCEPTED:
                 self.user.response_came(now, client, message)
             else:  # a fork that accepted after another had refused
                 self.user.stray_response(now, message)
-        elif state in (State.CALLING, State.PROCEEDING):
-            self._final(client, State.COMPLETED)
+        elif state in (TransactionState.CALLING, TransactionState.PROCEEDING):
+            self._final(client, TransactionState.COMPLETED)
             client.data = bytes(self._ack_of(client, message))
             self.wire.transmit(client.data, client.hop)
             self._set(now + (self.timer_d if client.hop.transport == "UDP" else 0), client, "end")
             self.user.response_came(now, client, message)
-        elif state == State.COMPLETED:
+        elif state == TransactionState.COMPLETED:
             self.wire.transmit(client.data, client.hop)
 
     def _ack_of(self, client: ClientTransaction, message: Message) -> Message:
@@ -428,7 +428,7 @@
         self.clients[client.branch, client.method] = client
         self.by_hop.setdefault(client.hop[:3], {})[client] = None
 
-    def _final(self, client: ClientTransaction, state: State) -> None:
+    def _final(self, client: ClientTransaction, state: TransactionState) -> None:
         """A final response came, or none will: nothing that befalls its hop concerns it any more."""
         client.state = state
         client.seqs.clear()
@@ -439,7 +439,7 @@
                 del self.by_hop[client.hop[:3]]
 
     def _close(self, client: ClientTransaction) -> None:
-        self._final(client, State.TERMINATED)
+        self._final(client, TransactionState.TERMINATED)
         if self.clients.get((client.branch, client.method)) is client:
             del self.clients[client.branch, client.method]
 
--- a/gingergap/standins/caller.py
+++ b/gingergap/standins/caller.py
@@ -17,7 +17,7 @@
 from ..sip.dialogs import SipDialog, next_hop
 from ..sip.fields import reason_of, seconds_of, tag_of
 from ..sip.message import Message, response
-from ..sip.transactions import MAGIC, ClientFailure, ClientTransaction, Hop, ServerTransaction, State
+from ..sip.transactions import MAGIC, ClientFailure, ClientTransaction, Hop, ServerTransaction, TransactionState
 from .capture import Capture, HarmfulGate
 from .element import Element, units
 from .exchange import BODY
@@ -152,7 +152,7 @@
         if not attempt.answered.wait(patience):
             attempt.given_up = True
             self.transactions.cancel(units(), client)
-            if client.state in (State.CALLING, State.PROCEEDING):
+            if client.state in (TransactionState.CALLING, TransactionState.PROCEEDING):
                 attempt.answered.wait(0.5)  # a final answer may cross the CANCEL
         if attempt.dialog is None and attempt.status == 0:
             gevent.spawn_later(40, self.tries.pop, (call_id, tag), None)
--- a/tests/test_sip_transactions.py
+++ b/tests/test_sip_transactions.py
@@ -9,7 +9,7 @@
 
 from gingergap.sip.dialogs import SipDialog, next_hop, release_of
 from gingergap.sip.message import BadMessageError, Message, parse, response
-from gingergap.sip.transactions import T1, ClientFailure, Hop, State, Transactions
+from gingergap.sip.transactions import T1, ClientFailure, Hop, Transactions, TransactionState
 
 PEER = Hop("UDP", "127.0.0.1", 6000)
 STREAM = Hop("TCP", "127.0.0.1", 6000, 4)
@@ -162,7 +162,7 @@
     client = client_of(noted)
     answer(noted, 10, client, 100)
     noted.transactions.hop_failed(20, PEER, False)
-    assert client.state == State.PROCEEDING
+    assert client.state == TransactionState.PROCEEDING
 
 
 def test_a_final_failure_is_sent_again_until_its_ack():
@@ -325,7 +325,7 @@
             self.pass_time(700_000)
         assert not self.near.transactions.clients
         for server in self.far.transactions.servers.values():
-            assert server.state in (State.TRYING, State.PROCEEDING)  # it waits for its user, nobody else
+            assert server.state in (TransactionState.TRYING, TransactionState.PROCEEDING)  # it waits for its user, nobody else
         assert self.near.transactions.next_due() is None and self.far.transactions.next_due() is None
 
 
