--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -17,7 +17,7 @@
 from ..sip.dialogs import next_hop, release_of
 from ..sip.fields import address_of, host_port, seconds_of, tag_of, top_via, uri_of, via_of
 from ..sip.message import BadMessageError, Message, response
-from ..sip.transactions import MAGIC, ClientFailure, ClientTransaction, Hop, ServerTransaction, Transactions, Wire
+from ..sip.transactions import MAGIC_COOKIE, ClientFailure, ClientTransaction, Hop, ServerTransaction, Transactions, Wire
 from ..store.audit import Audit
 from ..store.memory import Memory, Recalled, Word
 from ..store.records import KeptStanding
@@ -290,7 +290,7 @@
             next_hop(onward)
         except BadMessageError:
             return  # no answer is due to an ACK
-        branch = MAGIC + "a" + blake2s(top_via(message).branch.encode(errors="replace"), digest_size=10).hexdigest()
+        branch = MAGIC_COOKIE + "a" + blake2s(top_via(message).branch.encode(errors="replace"), digest_size=10).hexdigest()
         if not self._is_own(onward):
             self._send_stateless(onward, branch)
 
@@ -993,7 +993,7 @@
 
     def _branch(self) -> str:
         self.serial += 1
-        return f"{MAGIC}{self.boot}{self.serial:x}"
+        return f"{MAGIC_COOKIE}{self.boot}{self.serial:x}"
 
     def _send_stateless(self, message: Message, branch: str) -> None:
         hop = next_hop(message)
--- a/gingergap/sip/transactions.py
+++ b/gingergap/sip/transactions.py
@@ -12,7 +12,7 @@
 from .fields import Via, tag_of, top_via
 from .message import BadMessageError, Message, check_request, response
 
-MAGIC = "z9hG4bK"
+MAGIC_COOKIE = "z9hG4bK"
 T1, T2, T4 = 5_000, 40_000, 50_000  # RFC 3261 table 4
 TIMER_D = 320_000  # at least 32 s over datagrams
 
@@ -144,7 +144,7 @@
     """Section 17.2.3: branch, sent-by and method, ACK under INVITE; without the magic cookie, what RFC 2543
     told requests apart by."""
     method = "INVITE" if message.method == "ACK" else message.method
-    if via.branch.startswith(MAGIC):
+    if via.branch.startswith(MAGIC_COOKIE):
         return via.branch, f"{via.host}:{via.port}", method
     number = message.get("CSeq").split(" ")[0]
     return (f"{message.call_id} {number} {tag_of(message.get('From'))} {message.uri}", f"{via.host}:{via.port}", method)
--- a/gingergap/standins/caller.py
+++ b/gingergap/standins/caller.py
@@ -17,7 +17,7 @@
 from ..sip.dialogs import SipDialog, next_hop
 from ..sip.fields import reason_of, seconds_of, tag_of
 from ..sip.message import Message, response
-from ..sip.transactions import MAGIC, ClientFailure, ClientTransaction, Hop, ServerTransaction, TransactionState
+from ..sip.transactions import MAGIC_COOKIE, ClientFailure, ClientTransaction, Hop, ServerTransaction, TransactionState
 from .capture import Capture, HarmfulGate
 from .element import Element, units
 from .exchange import BODY
@@ -145,7 +145,9 @@
             invite.fields.append((MARKS, ";".join(marks)))
         attempt = Try()
         self.tries[call_id, tag] = attempt
-        client = self.transactions.request(units(), invite, Hop(transport, *self.proxy), MAGIC + secrets.token_hex(8), attempt)
+        client = self.transactions.request(
+            units(), invite, Hop(transport, *self.proxy), MAGIC_COOKIE + secrets.token_hex(8), attempt
+        )
         patience = float(kind.patience_s)
         if draw.random() < self.plan.day.callers.impatient:
             patience *= draw.random() ** 2
@@ -170,7 +172,7 @@
     def _hang_up(self, attempt: Try) -> None:
         attempt.ended.set()
         bye = attempt.dialog.request("BYE")
-        self.transactions.request(units(), bye, next_hop(bye), MAGIC + secrets.token_hex(8))
+        self.transactions.request(units(), bye, next_hop(bye), MAGIC_COOKIE + secrets.token_hex(8))
         key = attempt.dialog.call_id, tag_of(attempt.dialog.local)
         gevent.spawn_later(40, self.tries.pop, key, None)
 
@@ -200,7 +202,7 @@
             attempt.ack.push(
                 "Via",
                 f"SIP/2.0/{next_hop(attempt.ack).transport} {self.address[0]}:"
-                f"{self.address[1]};branch={MAGIC}{secrets.token_hex(8)};rport",
+                f"{self.address[1]};branch={MAGIC_COOKIE}{secrets.token_hex(8)};rport",
             )
             attempt.answered.set()
         self.sockets.transmit(bytes(attempt.ack), next_hop(attempt.ack))
--- a/gingergap/standins/exchange.py
+++ b/gingergap/standins/exchange.py
@@ -20,14 +20,14 @@
 from ..sip.dialogs import SipDialog, next_hop
 from ..sip.fields import address_of, params_of, q850, tag_of, top_via, uri_of
 from ..sip.message import BadMessageError, Message, response
-from ..sip.transactions import MAGIC, ClientFailure, ClientTransaction, Hop, ServerTransaction, stamp_via
+from ..sip.transactions import MAGIC_COOKIE, ClientFailure, ClientTransaction, Hop, ServerTransaction, stamp_via
 from .capture import Capture, HarmfulGate
 from .circuits import SharedCircuits
 from .element import Element, units
 from .notifier import Notifier
 from .script import LONG_AGO, NEVER, Life, Plan
 
-FORWARDED = MAGIC + "t"
+FORWARDED = MAGIC_COOKIE + "t"
 LONGEST_SETUP = 15.0  # seconds after which circuits of a set-up that was never finished are freed
 BODY = b"v=0\r\no=- 1 1 IN IP4 127.0.0.1\r\ns=-\r\nc=IN IP4 127.0.0.1\r\nt=0 0\r\nm=audio 40000 RTP/AVP 8\r\n"
 
@@ -422,7 +422,7 @@
         bye = held.dialog.request("BYE")
         bye.fields.append(q850(38))
         self._free(key)
-        self.transactions.request(units(), bye, next_hop(bye), MAGIC + secrets.token_hex(8))
+        self.transactions.request(units(), bye, next_hop(bye), MAGIC_COOKIE + secrets.token_hex(8))
 
     # --- the transactions' user ---
 
--- a/gingergap/standins/notifier.py
+++ b/gingergap/standins/notifier.py
@@ -7,7 +7,7 @@
 from ..sip.dialogs import SipDialog, next_hop
 from ..sip.fields import seconds_of
 from ..sip.message import BadMessageError, Message, response
-from ..sip.transactions import MAGIC, ClientTransaction, ServerTransaction, Transactions
+from ..sip.transactions import MAGIC_COOKIE, ClientTransaction, ServerTransaction, Transactions
 
 SECOND = 10_000
 
@@ -83,4 +83,4 @@
             ("Content-Type", "application/json"),
         ]
         message.body = msgspec.json.encode({"version": self.version, "state": state, "epoch": self.epoch, self.field: lines})
-        self.transactions.request(now, message, next_hop(message), MAGIC + secrets.token_hex(8), subscription)
+        self.transactions.request(now, message, next_hop(message), MAGIC_COOKIE + secrets.token_hex(8), subscription)
