--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -253,7 +253,7 @@
 
     # --- what can happen: the transactions' user ----------------------------------------------------------
 
-    def request_came(self, now: int, server: ServerTransaction, message: Message) -> None:
+    def request_received(self, now: int, server: ServerTransaction, message: Message) -> None:
         method = message.method
         if method == "INVITE" and not tag_of(message.get("To")):
             self._invited(now, server, message)
--- a/gingergap/sip/transactions.py
+++ b/gingergap/sip/transactions.py
@@ -52,7 +52,7 @@
 
 
 class User(Protocol):
-    def request_came(self, now: int, server: "Server", message: Message) -> None:
+    def request_received(self, now: int, server: "Server", message: Message) -> None:
         """A new request, ACK excepted; answer with `respond`."""
 
     def ack_came(self, now: int, message: Message, hop: Hop) -> None:
@@ -289,7 +289,7 @@
             return
         server = ServerTransaction(key, message, answer_hop(via, hop))
         self.servers[key] = server
-        self.user.request_came(now, server, message)
+        self.user.request_received(now, server, message)
 
     def _ack(self, now: int, server: ServerTransaction, message: Message, hop: Hop) -> None:
         if server.state == TransactionState.COMPLETED:
--- a/gingergap/standins/caller.py
+++ b/gingergap/standins/caller.py
@@ -214,7 +214,7 @@
         if attempt is not None and attempt.ack is not None:
             self.sockets.transmit(bytes(attempt.ack), next_hop(attempt.ack))
 
-    def request_came(self, now: int, server: ServerTransaction, message: Message) -> None:
+    def request_received(self, now: int, server: ServerTransaction, message: Message) -> None:
         attempt = self.tries.get((message.call_id, tag_of(message.get("To"))))
         if message.method == "BYE" and attempt is not None:
             self.transactions.respond(now, server, response(message, 200))
--- a/gingergap/standins/element.py
+++ b/gingergap/standins/element.py
@@ -49,7 +49,7 @@
     def hop_failed(self, hop: Hop, reset: bool) -> None:
         self.transactions.hop_failed(units(), hop, reset)
 
-    def request_came(self, now: int, server: ServerTransaction, message: Message) -> None:
+    def request_received(self, now: int, server: ServerTransaction, message: Message) -> None:
         pass
 
     def ack_came(self, now: int, message: Message, hop: Hop) -> None:
--- a/gingergap/standins/exchange.py
+++ b/gingergap/standins/exchange.py
@@ -426,7 +426,7 @@
 
     # --- the transactions' user ---
 
-    def request_came(self, now: int, server: ServerTransaction, message: Message) -> None:
+    def request_received(self, now: int, server: ServerTransaction, message: Message) -> None:
         if message.method == "INVITE":
             self._invited(now, server, message)
         elif message.method == "SUBSCRIBE":
--- a/gingergap/standins/exchange_list.py
+++ b/gingergap/standins/exchange_list.py
@@ -60,7 +60,7 @@
             gevent.sleep(max(0.0, self.epoch + when - time.monotonic()))
             self.notifier.changed(units(), {name: self._line(name, number, state, started)})
 
-    def request_came(self, now: int, server: ServerTransaction, message: Message) -> None:
+    def request_received(self, now: int, server: ServerTransaction, message: Message) -> None:
         if message.method == "SUBSCRIBE":
             self.notifier.subscribe(now, server, message)
         else:
--- a/tests/test_sip_transactions.py
+++ b/tests/test_sip_transactions.py
@@ -25,7 +25,7 @@
     def transmit(self, data, hop):
         self.sent.append(parse(data))
 
-    def request_came(self, now, server, message):
+    def request_received(self, now, server, message):
         self.told.append(("request", server))
 
     def ack_came(self, now, message, hop):
