--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -283,7 +283,7 @@
         else:
             self._answer(now, server, 405, [("Allow", "INVITE, ACK, CANCEL, BYE, OPTIONS, MESSAGE, NOTIFY")])
 
-    def ack_came(self, now: int, message: Message, hop: Hop) -> None:
+    def ack_received(self, now: int, message: Message, hop: Hop) -> None:
         """The ACK of a 2xx goes end to end (section 16.11 forwards it without state)."""
         try:
             onward = self._prepared(message)
--- a/gingergap/sip/transactions.py
+++ b/gingergap/sip/transactions.py
@@ -55,7 +55,7 @@
     def request_received(self, now: int, server: "Server", message: Message) -> None:
         """A new request, ACK excepted; answer with `respond`."""
 
-    def ack_came(self, now: int, message: Message, hop: Hop) -> None:
+    def ack_received(self, now: int, message: Message, hop: Hop) -> None:
         """An ACK that belongs to no server transaction: the one of a 2xx."""
 
     def door_shut(self, now: int, message: Message, hop: Hop) -> None:
@@ -281,7 +281,7 @@
                 self.wire.transmit(server.last, server.hop)  # a retransmission
             return
         if message.method == "ACK":
-            self.user.ack_came(now, message, hop)
+            self.user.ack_received(now, message, hop)
             return
         stamp_via(message, via, hop)
         if len(self.servers) >= self.most:
@@ -297,7 +297,7 @@
             server.seqs.clear()
             self._set(now + (self.t4 if server.hop.transport == "UDP" else 0), server, "end")
         elif server.state == TransactionState.ACCEPTED:
-            self.user.ack_came(now, message, hop)
+            self.user.ack_received(now, message, hop)
 
     def _server_timer(self, now: int, server: ServerTransaction, name: str) -> None:
         if name == "again":  # Timer G
--- a/gingergap/standins/element.py
+++ b/gingergap/standins/element.py
@@ -52,7 +52,7 @@
     def request_received(self, now: int, server: ServerTransaction, message: Message) -> None:
         pass
 
-    def ack_came(self, now: int, message: Message, hop: Hop) -> None:
+    def ack_received(self, now: int, message: Message, hop: Hop) -> None:
         pass
 
     def door_shut(self, now: int, message: Message, hop: Hop) -> None:
--- a/gingergap/standins/exchange.py
+++ b/gingergap/standins/exchange.py
@@ -533,7 +533,7 @@
             self._free(key)
             self.transactions.respond(now, invited, response(invited.request, 487, self._tag(key)))
 
-    def ack_came(self, now: int, message: Message, hop: Hop) -> None:
+    def ack_received(self, now: int, message: Message, hop: Hop) -> None:
         held = self.held.get((message.call_id, tag_of(message.get("From"))))
         if held is not None:
             held.acked = True
--- a/tests/test_sip_transactions.py
+++ b/tests/test_sip_transactions.py
@@ -28,7 +28,7 @@
     def request_received(self, now, server, message):
         self.told.append(("request", server))
 
-    def ack_came(self, now, message, hop):
+    def ack_received(self, now, message, hop):
         self.told.append(("ack", message))
 
     def door_shut(self, now, message, hop):
