--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -294,7 +294,7 @@
         if not self._is_own(onward):
             self._send_stateless(onward, branch)
 
-    def door_shut(self, now: int, message: Message, hop: Hop) -> None:
+    def transaction_limit_reached(self, now: int, message: Message, hop: Hop) -> None:
         self._count("transactions full")
         self.transactions.stateless(message, 503, self._still_tag(message), hop, [("Retry-After", "1")])
 
--- a/gingergap/sip/transactions.py
+++ b/gingergap/sip/transactions.py
@@ -58,7 +58,7 @@
     def ack_received(self, now: int, message: Message, hop: Hop) -> None:
         """An ACK that belongs to no server transaction: the one of a 2xx."""
 
-    def door_shut(self, now: int, message: Message, hop: Hop) -> None:
+    def transaction_limit_reached(self, now: int, message: Message, hop: Hop) -> None:
         """A new request while no more transactions may be opened."""
 
     def response_came(self, now: int, client: "Client", message: Message) -> None:
@@ -285,7 +285,7 @@
             return
         stamp_via(message, via, hop)
         if len(self.servers) >= self.most:
-            self.user.door_shut(now, message, hop)
+            self.user.transaction_limit_reached(now, message, hop)
             return
         server = ServerTransaction(key, message, answer_hop(via, hop))
         self.servers[key] = server
--- a/gingergap/standins/element.py
+++ b/gingergap/standins/element.py
@@ -55,7 +55,7 @@
     def ack_received(self, now: int, message: Message, hop: Hop) -> None:
         pass
 
-    def door_shut(self, now: int, message: Message, hop: Hop) -> None:
+    def transaction_limit_reached(self, now: int, message: Message, hop: Hop) -> None:
         self.transactions.stateless(message, 503, "full", hop)
 
     def response_came(self, now: int, client: ClientTransaction, message: Message) -> None:
--- a/tests/test_sip_transactions.py
+++ b/tests/test_sip_transactions.py
@@ -31,7 +31,7 @@
     def ack_received(self, now, message, hop):
         self.told.append(("ack", message))
 
-    def door_shut(self, now, message, hop):
+    def transaction_limit_reached(self, now, message, hop):
         self.told.append(("shut", message))
 
     def response_came(self, now, client, message):
