--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -298,7 +298,7 @@
         self._count("transactions full")
         self.transactions.stateless(message, 503, self._still_tag(message), hop, [("Retry-After", "1")])
 
-    def response_came(self, now: int, client: ClientTransaction, message: Message) -> None:
+    def response_received(self, now: int, client: ClientTransaction, message: Message) -> None:
         owner = client.owner
         if type(owner) is Leg:
             self._leg_answered(now, owner, message)
--- a/gingergap/sip/transactions.py
+++ b/gingergap/sip/transactions.py
@@ -61,7 +61,7 @@
     def transaction_limit_reached(self, now: int, message: Message, hop: Hop) -> None:
         """A new request while no more transactions may be opened."""
 
-    def response_came(self, now: int, client: "Client", message: Message) -> None:
+    def response_received(self, now: int, client: "Client", message: Message) -> None:
         """Any response but 100 and retransmissions; a 2xx to INVITE each time that it comes."""
 
     def stray_response(self, now: int, message: Message) -> None:
@@ -338,7 +338,7 @@
                 return
             self._final(client, TransactionState.COMPLETED)
             self._set(now + (self.t4 if client.hop.transport == "UDP" else 0), client, "end")
-            self.user.response_came(now, client, message)
+            self.user.response_received(now, client, message)
 
     def _invite_response(self, now: int, client: ClientTransaction, message: Message) -> None:
         status, state = message.status, client.state
@@ -349,15 +349,15 @@
                 if client.cancelled:
                     self._send_cancel(now, client)
             if state in (TransactionState.CALLING, TransactionState.PROCEEDING):
-                self.user.response_came(now, client, message)
+                self.user.response_received(now, client, message)
         elif status < 300:
             if state in (TransactionState.CALLING, TransactionState.PROCEEDING):
                 self._final(client, TransactionState.ACCEPTED)
                 client.data = b""
                 self._set(now + 64 * self.t1, client, "end")  # Timer M
-                self.user.response_came(now, client, message)
+                self.user.response_received(now, client, message)
             elif state == TransactionState.ACCEPTED:
-                self.user.response_came(now, client, message)
+                self.user.response_received(now, client, message)
             else:  # a fork that accepted after another had refused
                 self.user.stray_response(now, message)
         elif state in (TransactionState.CALLING, TransactionState.PROCEEDING):
@@ -365,7 +365,7 @@
             client.data = bytes(self._ack_of(client, message))
             self.wire.transmit(client.data, client.hop)
             self._set(now + (self.timer_d if client.hop.transport == "UDP" else 0), client, "end")
-            self.user.response_came(now, client, message)
+            self.user.response_received(now, client, message)
         elif state == TransactionState.COMPLETED:
             self.wire.transmit(client.data, client.hop)
 
--- a/gingergap/standins/caller.py
+++ b/gingergap/standins/caller.py
@@ -185,7 +185,7 @@
 
     # --- sockets and transactions ---
 
-    def response_came(self, now: int, client: ClientTransaction, message: Message) -> None:
+    def response_received(self, now: int, client: ClientTransaction, message: Message) -> None:
         attempt = client.owner
         if not isinstance(attempt, Try) or message.status < 200:
             return
--- a/gingergap/standins/element.py
+++ b/gingergap/standins/element.py
@@ -58,7 +58,7 @@
     def transaction_limit_reached(self, now: int, message: Message, hop: Hop) -> None:
         self.transactions.stateless(message, 503, "full", hop)
 
-    def response_came(self, now: int, client: ClientTransaction, message: Message) -> None:
+    def response_received(self, now: int, client: ClientTransaction, message: Message) -> None:
         pass
 
     def stray_response(self, now: int, message: Message) -> None:
--- a/gingergap/standins/exchange.py
+++ b/gingergap/standins/exchange.py
@@ -538,7 +538,7 @@
         if held is not None:
             held.acked = True
 
-    def response_came(self, now: int, client: ClientTransaction, message: Message) -> None:
+    def response_received(self, now: int, client: ClientTransaction, message: Message) -> None:
         self.notifier.answered(client, message)
 
     def client_lost(self, now: int, client: ClientTransaction, how: ClientFailure) -> None:
--- a/gingergap/standins/exchange_list.py
+++ b/gingergap/standins/exchange_list.py
@@ -66,7 +66,7 @@
         else:
             self.transactions.respond(now, server, response(message, 405, secrets.token_hex(4)))
 
-    def response_came(self, now: int, client: ClientTransaction, message: Message) -> None:
+    def response_received(self, now: int, client: ClientTransaction, message: Message) -> None:
         self.notifier.answered(client, message)
 
     def client_lost(self, now: int, client: ClientTransaction, how: ClientFailure) -> None:
--- a/tests/test_sip_transactions.py
+++ b/tests/test_sip_transactions.py
@@ -34,7 +34,7 @@
     def transaction_limit_reached(self, now, message, hop):
         self.told.append(("shut", message))
 
-    def response_came(self, now, client, message):
+    def response_received(self, now, client, message):
         self.told.append((message.status, client))
 
     def stray_response(self, now, message):
