--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -320,7 +320,7 @@
         else:
             self._release(now, message)
 
-    def client_lost(self, now: int, client: ClientTransaction, how: ClientFailure) -> None:
+    def client_failed(self, now: int, client: ClientTransaction, how: ClientFailure) -> None:
         owner = client.owner
         if type(owner) is Leg:
             if owner.over:
--- a/gingergap/sip/transactions.py
+++ b/gingergap/sip/transactions.py
@@ -67,7 +67,7 @@
     def stray_response(self, now: int, message: Message) -> None:
         """A 2xx to INVITE of which no transaction is known any more."""
 
-    def client_lost(self, now: int, client: "Client", how: ClientFailure) -> None:
+    def client_failed(self, now: int, client: "Client", how: ClientFailure) -> None:
         """A client transaction ended without a final response."""
 
     def server_lost(self, now: int, server: "Server") -> None:
@@ -421,7 +421,7 @@
 
     def _lost(self, now: int, client: ClientTransaction, how: ClientFailure) -> None:
         self._close(client)
-        self.user.client_lost(now, client, how)
+        self.user.client_failed(now, client, how)
         client.owner = None
 
     def _open(self, client: ClientTransaction) -> None:
--- a/gingergap/standins/caller.py
+++ b/gingergap/standins/caller.py
@@ -224,7 +224,7 @@
         else:
             self.transactions.respond(now, server, response(message, 481 if message.method == "BYE" else 405, "x"))
 
-    def client_lost(self, now: int, client: ClientTransaction, how: ClientFailure) -> None:
+    def client_failed(self, now: int, client: ClientTransaction, how: ClientFailure) -> None:
         if isinstance(client.owner, Try):
             client.owner.answered.set()
 
--- a/gingergap/standins/element.py
+++ b/gingergap/standins/element.py
@@ -64,7 +64,7 @@
     def stray_response(self, now: int, message: Message) -> None:
         pass
 
-    def client_lost(self, now: int, client: ClientTransaction, how: ClientFailure) -> None:
+    def client_failed(self, now: int, client: ClientTransaction, how: ClientFailure) -> None:
         pass
 
     def server_lost(self, now: int, server: ServerTransaction) -> None:
--- a/gingergap/standins/exchange_list.py
+++ b/gingergap/standins/exchange_list.py
@@ -69,7 +69,7 @@
     def response_received(self, now: int, client: ClientTransaction, message: Message) -> None:
         self.notifier.answered(client, message)
 
-    def client_lost(self, now: int, client: ClientTransaction, how: ClientFailure) -> None:
+    def client_failed(self, now: int, client: ClientTransaction, how: ClientFailure) -> None:
         self.notifier.lost(client)
 
 
--- a/tests/test_sip_transactions.py
+++ b/tests/test_sip_transactions.py
@@ -40,7 +40,7 @@
     def stray_response(self, now, message):
         self.told.append(("stray", message))
 
-    def client_lost(self, now, client, how):
+    def client_failed(self, now, client, how):
         self.told.append((how, client))
 
     def server_lost(self, now, server):
