--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -343,7 +343,7 @@
         elif type(owner) is int:
             self.messages_out[owner] -= 1
 
-    def server_lost(self, now: int, server: ServerTransaction) -> None:
+    def ack_timed_out(self, now: int, server: ServerTransaction) -> None:
         self._count("answer never acknowledged")
 
     # --- a dialog comes ----------------------------------------------------------------------------------
--- a/gingergap/sip/transactions.py
+++ b/gingergap/sip/transactions.py
@@ -70,7 +70,7 @@
     def client_failed(self, now: int, client: "Client", how: ClientFailure) -> None:
         """A client transaction ended without a final response."""
 
-    def server_lost(self, now: int, server: "Server") -> None:
+    def ack_timed_out(self, now: int, server: "Server") -> None:
         """An INVITE server transaction whose final answer was never acknowledged (Timer H)."""
 
 
@@ -309,7 +309,7 @@
             server.seqs.clear()
             self.servers.pop(server.key, None)
             if name == "unacked":  # Timer H
-                self.user.server_lost(now, server)
+                self.user.ack_timed_out(now, server)
             server.owner = None  # no rings: an owner that holds its server was found again by the collector alone
 
     # --- responses ---
--- a/gingergap/standins/element.py
+++ b/gingergap/standins/element.py
@@ -67,5 +67,5 @@
     def client_failed(self, now: int, client: ClientTransaction, how: ClientFailure) -> None:
         pass
 
-    def server_lost(self, now: int, server: ServerTransaction) -> None:
+    def ack_timed_out(self, now: int, server: ServerTransaction) -> None:
         pass
--- a/tests/test_sip_transactions.py
+++ b/tests/test_sip_transactions.py
@@ -43,7 +43,7 @@
     def client_failed(self, now, client, how):
         self.told.append((how, client))
 
-    def server_lost(self, now, server):
+    def ack_timed_out(self, now, server):
         self.told.append(("unacked", server))
 
     def run(self, start, until, step=100):
