--- a/gingergap/sip/transactions.py
+++ b/gingergap/sip/transactions.py
@@ -128,7 +128,7 @@
     return Hop("UDP", hop.host, hop.port if "rport" in via.params else via.port)
 
 
-def stamp_via(message: Message, via: Via, hop: Hop) -> None:
+def record_source(message: Message, via: Via, hop: Hop) -> None:
     """Note the source in the topmost Via where it says something else (section 18.2.1, RFC 3581)."""
     if "rport" not in via.params and via.host == hop.host:
         return
@@ -283,7 +283,7 @@
         if message.method == "ACK":
             self.user.ack_received(now, message, hop)
             return
-        stamp_via(message, via, hop)
+        record_source(message, via, hop)
         if len(self.servers) >= self.most:
             self.user.transaction_limit_reached(now, message, hop)
             return
--- a/gingergap/standins/exchange.py
+++ b/gingergap/standins/exchange.py
@@ -20,7 +20,7 @@
 from ..sip.dialogs import SipDialog, next_hop
 from ..sip.fields import address_of, params_of, q850, tag_of, top_via, uri_of
 from ..sip.message import BadMessageError, Message, response
-from ..sip.transactions import MAGIC_COOKIE, ClientFailure, ClientTransaction, Hop, ServerTransaction, stamp_via
+from ..sip.transactions import MAGIC_COOKIE, ClientFailure, ClientTransaction, Hop, ServerTransaction, record_source
 from .capture import Capture, HarmfulGate
 from .circuits import SharedCircuits
 from .element import Element, units
@@ -330,7 +330,7 @@
         via = top_via(message)
         branch = self._branch_onward(message)
         onto = message.copy()
-        stamp_via(onto, via, hop)
+        record_source(onto, via, hop)
         hops = onto.get("Max-Forwards", "70").strip()
         if not hops.isdigit() or int(hops) <= 0:
             return
