--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -209,7 +209,7 @@
         message = bad.message
         self.log.debug("bad-message", why=str(bad), peer=f"{hop.host}:{hop.port}", status=bad.status)
         if message is not None and message.method and bad.status:
-            self.transactions.stateless(
+            self.transactions.respond_statelessly(
                 message, bad.status, self._still_tag(message), hop, [("Warning", f'399 {self.domain} "{_plain(str(bad))}"')]
             )
 
@@ -296,7 +296,7 @@
 
     def transaction_limit_reached(self, now: int, message: Message, hop: Hop) -> None:
         self._count("transactions full")
-        self.transactions.stateless(message, 503, self._still_tag(message), hop, [("Retry-After", "1")])
+        self.transactions.respond_statelessly(message, 503, self._still_tag(message), hop, [("Retry-After", "1")])
 
     def response_received(self, now: int, client: ClientTransaction, message: Message) -> None:
         owner = client.owner
--- a/gingergap/sip/transactions.py
+++ b/gingergap/sip/transactions.py
@@ -257,7 +257,9 @@
         else:
             self._send_cancel(now, client)
 
-    def stateless(self, message: Message, status: int, tag: str, hop: Hop, fields: list[tuple[str, str]] | None = None) -> None:
+    def respond_statelessly(
+        self, message: Message, status: int, tag: str, hop: Hop, fields: list[tuple[str, str]] | None = None
+    ) -> None:
         """Answer a request without keeping anything (section 8.2.7); the same request must get the same tag."""
         if message.method == "ACK":
             return
--- a/gingergap/standins/element.py
+++ b/gingergap/standins/element.py
@@ -38,7 +38,7 @@
             self.take(message, hop)
         except BadMessageError as bad:
             if message.method and bad.status:
-                self.transactions.stateless(message, bad.status, "bad", hop)
+                self.transactions.respond_statelessly(message, bad.status, "bad", hop)
 
     def take(self, message: Message, hop: Hop) -> None:
         self.transactions.received(units(), message, hop)
@@ -56,7 +56,7 @@
         pass
 
     def transaction_limit_reached(self, now: int, message: Message, hop: Hop) -> None:
-        self.transactions.stateless(message, 503, "full", hop)
+        self.transactions.respond_statelessly(message, 503, "full", hop)
 
     def response_received(self, now: int, client: ClientTransaction, message: Message) -> None:
         pass
--- a/gingergap/standins/exchange.py
+++ b/gingergap/standins/exchange.py
@@ -356,7 +356,7 @@
             return
         self._arrived()
         if not self._seize(
-            message, True, lambda status, tag, fields: self.transactions.stateless(message, status, tag, hop, fields)
+            message, True, lambda status, tag, fields: self.transactions.respond_statelessly(message, status, tag, hop, fields)
         ):
             return
         self.forwarded[branch] = False
