--- a/gingergap/edge/words.py
+++ b/gingergap/edge/words.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from ..host import LegEnd, Rsn
-from ..sip.fields import params_of, q850, reason_of, seconds_of
+from ..sip.fields import parse_params, q850, reason_of, seconds_of
 from ..sip.message import BadMessageError, Message
 
 NO_CIRCUIT, CONGESTION, USER_BUSY, REJECTED, NORMAL, OUT_OF_ORDER, TIMER = 34, 42, 17, 21, 16, 38, 102
@@ -32,7 +32,7 @@
     text = message.get(MARKS)
     if not text:
         return Marks(False, False, False, -1)
-    params = params_of(text)
+    params = parse_params(text)
     left = params.get("time-left", "-1")
     if left != "-1" and not (left.isascii() and left.isdigit() and len(left) < 10):
         raise BadMessageError(f"{MARKS} has a time-left that is no number", 400, message)
--- a/gingergap/sip/fields.py
+++ b/gingergap/sip/fields.py
@@ -33,7 +33,7 @@
     user_params: dict[str, str]
 
 
-def params_of(text: str) -> dict[str, str]:
+def parse_params(text: str) -> dict[str, str]:
     """`;a=1;b` as a dict; quotes around values are taken off."""
     params: dict[str, str] = {}
     if not text:
@@ -65,7 +65,7 @@
     if head[:8] == "SIP/2.0/" and head.count(" ") == 1:  # as nearly all are written
         transport, _, sent_by = head[8:].partition(" ")
         if transport and "/" not in transport:
-            return Via(transport.upper(), *host_port(sent_by), params_of(rest))
+            return Via(transport.upper(), *host_port(sent_by), parse_params(rest))
     words = head.split()
     if len(words) < 2:
         raise BadMessageError("Via is not a protocol and an address")
@@ -73,7 +73,7 @@
     if len(protocol) != 3 or protocol[0].upper() != "SIP" or protocol[1] != "2.0":
         raise BadMessageError("Via names another protocol")
     host, port = host_port(words[-1])
-    return Via(protocol[2].upper(), host, port, params_of(rest))
+    return Via(protocol[2].upper(), host, port, parse_params(rest))
 
 
 def top_via(message: Message) -> Via:
@@ -93,9 +93,9 @@
         close = value.find(">", open_at)
         if close < 0:
             raise BadMessageError("an address lacks its closing bracket")
-        return value[open_at + 1 : close], params_of(value[close + 1 :])
+        return value[open_at + 1 : close], parse_params(value[close + 1 :])
     uri, _, rest = value.partition(";")
-    return uri.strip(), params_of(rest)
+    return uri.strip(), parse_params(rest)
 
 
 def tag_of(value: str) -> str:
@@ -116,13 +116,13 @@
         raise BadMessageError("the URI's scheme is not served", 416)
     if scheme == "tel":
         user, _, params = rest.partition(";")
-        return Uri(scheme, user, "", 0, {}, params_of(params))
+        return Uri(scheme, user, "", 0, {}, parse_params(params))
     rest = rest.partition("?")[0]
     user, at, where = rest.rpartition("@")
     where, _, params = where.partition(";")
     host, port = host_port(where, 5061 if scheme == "sips" else 5060)
     user, _, user_params = user.partition(";")
-    return Uri(scheme, user.partition(":")[0] if at else "", host, port, params_of(params), params_of(user_params))
+    return Uri(scheme, user.partition(":")[0] if at else "", host, port, parse_params(params), parse_params(user_params))
 
 
 def reason_of(message: Message) -> tuple[int, str]:
@@ -130,7 +130,7 @@
     for value in message.all("Reason"):
         protocol, _, rest = value.partition(";")
         if protocol.strip().upper() == "Q.850":
-            params = params_of(rest)
+            params = parse_params(rest)
             cause = params.get("cause", "")
             if cause.isascii() and cause.isdigit():
                 return int(cause), params.get("location", "")
--- a/gingergap/standins/exchange.py
+++ b/gingergap/standins/exchange.py
@@ -18,7 +18,7 @@
 
 from ..duties.leases import Fence, Token
 from ..sip.dialogs import SipDialog, next_hop
-from ..sip.fields import address_of, params_of, q850, tag_of, top_via, uri_of
+from ..sip.fields import address_of, parse_params, q850, tag_of, top_via, uri_of
 from ..sip.message import BadMessageError, Message, response
 from ..sip.transactions import MAGIC_COOKIE, ClientFailure, ClientTransaction, Hop, ServerTransaction, record_source
 from .capture import Capture, HarmfulGate
@@ -451,7 +451,7 @@
     def _probed(self, server: ServerTransaction, message: Message) -> None:
         """A probe under a lease is answered if its token is not older than the newest seen here (412, RFC 3903)."""
         duty, _, rest = message.get("Gingergap-Duty").partition(";")
-        params = params_of(rest)
+        params = parse_params(rest)
         if duty and params.get("counter", "").isdigit():
             token = Token(int(params["counter"]), params.get("holder", ""))
             admitted = self.fence.admit(units(), duty, token, True)
