--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -15,7 +15,7 @@
 from ..brain import CallController
 from ..host import GwState, LegEnd, ListEntry, Rsn, TrafficType
 from ..sip.dialogs import next_hop, release_of
-from ..sip.fields import address_of, host_port, seconds_of, tag_of, top_via, uri_of, via_of
+from ..sip.fields import address_of, host_port, parse_via, seconds_of, tag_of, top_via, uri_of
 from ..sip.message import BadMessageError, Message, response
 from ..sip.transactions import MAGIC_COOKIE, ClientFailure, ClientTransaction, Hop, ServerTransaction, Transactions, Wire
 from ..store.audit import Audit
@@ -354,7 +354,7 @@
             expires = words.time_left(message, told, self.default_expires)
             number = uri_of(message.uri).user
             hops = self._hops_left(message)
-            vias = [via_of(value) for value in message.all("Via")[1:]]
+            vias = [parse_via(value) for value in message.all("Via")[1:]]
             contact = message.get("Contact")
             if not contact:
                 raise BadMessageError("Contact is missing")
@@ -966,7 +966,7 @@
 
     def _came_by(self, call: Call, message: Message) -> None:
         """The proxy that sent a dialog here stands first or, behind its tandem, second on the way it came."""
-        for via in [via_of(value) for value in message.all("Via")[:2]]:
+        for via in [parse_via(value) for value in message.all("Via")[:2]]:
             call.crossing = crossing(via.branch)
             self._note("came", call.crossing, call.index)
 
--- a/gingergap/sip/fields.py
+++ b/gingergap/sip/fields.py
@@ -59,7 +59,7 @@
     return host, int(given) if given else port
 
 
-def via_of(value: str) -> Via:
+def parse_via(value: str) -> Via:
     """Raises BadMessageError with the field's fault."""
     head, _, rest = value.partition(";")
     if head[:8] == "SIP/2.0/" and head.count(" ") == 1:  # as nearly all are written
@@ -82,7 +82,7 @@
         raise BadMessageError("Via is missing", 0, message)
     if "," in value:
         value = message.all("Via")[0]
-    return via_of(value)
+    return parse_via(value)
 
 
 @lru_cache(REMEMBERED)
--- a/tests/test_sip_message.py
+++ b/tests/test_sip_message.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gingergap.sip.fields import address_of, reason_of, seconds_of, tag_of, uri_of, via_of
+from gingergap.sip.fields import address_of, parse_via, reason_of, seconds_of, tag_of, uri_of
 from gingergap.sip.framing import Framer
 from gingergap.sip.message import BadMessageError, Message, check_request, parse, response, split_list
 
@@ -27,7 +27,7 @@
     check_request(message)
     assert message.cseq() == (9, "INVITE")
     assert tag_of(message.get("From")) == "98asjd8" and tag_of(message.get("To")) == "1918181833n"
-    vias = [via_of(value) for value in message.all("Via")]
+    vias = [parse_via(value) for value in message.all("Via")]
     assert [(via.transport, via.host, via.branch) for via in vias] == [
         ("UDP", "192.0.2.2", "390skdjuw"),
         ("TCP", "a.example", "z9hG4bK9ikj8"),
@@ -120,7 +120,7 @@
 )
 def test_a_bad_via_is_refused(text):
     with pytest.raises(BadMessageError):
-        via_of(text)
+        parse_via(text)
 
 
 def test_a_trunk_group_stands_in_the_user_part():
@@ -181,7 +181,7 @@
     assert other.call_id == again.call_id
     assert (other.cseq.sequence, other.cseq.method) == again.cseq()
     assert [(via.host, via.port, via.parameters["branch"]) for via in other.via] == [
-        (via.host, via.port, via.branch) for via in map(via_of, again.all("Via"))
+        (via.host, via.port, via.branch) for via in map(parse_via, again.all("Via"))
     ]
     assert other.from_address.parameters["tag"] == tag_of(again.get("From"))
 
@@ -228,7 +228,7 @@
             message = parse(whole)
             if message.method:
                 check_request(message)
-            [via_of(value) for value in message.all("Via")]
+            [parse_via(value) for value in message.all("Via")]
             address_of(message.get("From"))
             bytes(response(message, 400, "t"))
         except BadMessageError:
