--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -15,7 +15,7 @@
 from ..brain import CallController
 from ..host import GwState, LegEnd, ListEntry, Rsn, TrafficType
 from ..sip.dialogs import next_hop, release_of
-from ..sip.fields import address_of, host_port, parse_via, seconds_of, tag_of, top_via, uri_of
+from ..sip.fields import address_of, host_port, parse_uri, parse_via, seconds_of, tag_of, top_via
 from ..sip.message import BadMessageError, Message, response
 from ..sip.transactions import MAGIC_COOKIE, ClientFailure, ClientTransaction, Hop, ServerTransaction, Transactions, Wire
 from ..store.audit import Audit
@@ -352,13 +352,13 @@
         try:
             told = words.marks_of(message)
             expires = words.time_left(message, told, self.default_expires)
-            number = uri_of(message.uri).user
+            number = parse_uri(message.uri).user
             hops = self._hops_left(message)
             vias = [parse_via(value) for value in message.all("Via")[1:]]
             contact = message.get("Contact")
             if not contact:
                 raise BadMessageError("Contact is missing")
-            uri_of(address_of(message.all("Contact")[0])[0])
+            parse_uri(address_of(message.all("Contact")[0])[0])
         except BadMessageError as bad:
             self._answer(now, server, bad.status or 400, [("Warning", f'399 {self.domain} "{_plain(str(bad))}"')])
             return
@@ -656,7 +656,7 @@
             first = message.get("Route")
             if not first:
                 return
-            uri = uri_of(address_of(message.all("Route")[0])[0])
+            uri = parse_uri(address_of(message.all("Route")[0])[0])
             if (uri.host, uri.port) != self.address:
                 return
             message.pop_first("Route")
@@ -664,7 +664,7 @@
     def _is_own(self, message: Message) -> bool:
         if message.has("Route"):
             return False
-        uri = uri_of(message.uri)
+        uri = parse_uri(message.uri)
         return (uri.host, uri.port) == self.address
 
     def _hops_left(self, message: Message) -> int:
@@ -765,7 +765,7 @@
             hop = self.hops[gw]
             if line.address:
                 try:
-                    uri = uri_of(f"sip:{line.address}")
+                    uri = parse_uri(f"sip:{line.address}")
                     hop = Hop("TCP" if line.transport.upper() == "TCP" else "UDP", uri.host, uri.port)
                 except BadMessageError:
                     self.log.warning("list-address-unusable", exchange=line.id, address=line.address)
--- a/gingergap/sip/fields.py
+++ b/gingergap/sip/fields.py
@@ -108,7 +108,7 @@
 
 
 @lru_cache(REMEMBERED)
-def uri_of(text: str) -> Uri:
+def parse_uri(text: str) -> Uri:
     """Raises BadMessageError for what is no sip, sips or tel URI."""
     scheme, colon, rest = text.partition(":")
     scheme = scheme.lower()
--- a/gingergap/standins/exchange.py
+++ b/gingergap/standins/exchange.py
@@ -18,7 +18,7 @@
 
 from ..duties.leases import Fence, Token
 from ..sip.dialogs import SipDialog, next_hop
-from ..sip.fields import address_of, parse_params, q850, tag_of, top_via, uri_of
+from ..sip.fields import address_of, parse_params, parse_uri, q850, tag_of, top_via
 from ..sip.message import BadMessageError, Message, response
 from ..sip.transactions import MAGIC_COOKIE, ClientFailure, ClientTransaction, Hop, ServerTransaction, record_source
 from .capture import Capture, HarmfulGate
@@ -298,10 +298,10 @@
 
     def _got_request(self, message: Message, hop: Hop) -> None:
         routes = message.all("Route")
-        if routes and (uri := uri_of(address_of(routes[0])[0])) and (uri.host, uri.port) == self.address:
+        if routes and (uri := parse_uri(address_of(routes[0])[0])) and (uri.host, uri.port) == self.address:
             self._pass_within(message, hop)
             return
-        user = uri_of(message.uri).user
+        user = parse_uri(message.uri).user
         if message.method in ("INVITE", "ACK", "CANCEL") and self._number_of(message.uri) not in (-1, self.life.number):
             self._in_transit(message, hop)
         elif message.method == "MESSAGE" and user == "proxy" and (hop.host, hop.port) != self.proxy:
@@ -311,11 +311,11 @@
 
     def _number_of(self, uri: str) -> int:
         """Numbers are 0NN and digits: the exchange they belong to, -1 for none."""
-        user = uri_of(uri).user
+        user = parse_uri(uri).user
         return int(user[1:3]) if len(user) > 3 and user[1:3].isdigit() else -1
 
     def _source_of(self, uri: str) -> int:
-        group = uri_of(uri).user_params.get("tgrp", "")
+        group = parse_uri(uri).user_params.get("tgrp", "")
         first = group[1:].partition("-")[0]
         return int(first) if group.startswith("g") and first.isdigit() else -1
 
@@ -373,7 +373,7 @@
         """A request within a dialog in transit: on along its route set; a BYE frees the circuits here."""
         while True:
             routes = message.all("Route")
-            uri = uri_of(address_of(routes[0])[0]) if routes else None
+            uri = parse_uri(address_of(routes[0])[0]) if routes else None
             if uri is None or (uri.host, uri.port) != self.address:
                 break
             message.pop_first("Route")
--- a/tests/test_sip_message.py
+++ b/tests/test_sip_message.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gingergap.sip.fields import address_of, parse_via, reason_of, seconds_of, tag_of, uri_of
+from gingergap.sip.fields import address_of, parse_uri, parse_via, reason_of, seconds_of, tag_of
 from gingergap.sip.framing import Framer
 from gingergap.sip.message import BadMessageError, Message, check_request, parse, response, split_list
 
@@ -124,7 +124,7 @@
 
 
 def test_a_trunk_group_stands_in_the_user_part():
-    uri = uri_of("sip:+27115550100;tgrp=g0-2;trunk-context=kpl.invalid@127.0.0.1:5070;transport=tcp")
+    uri = parse_uri("sip:+27115550100;tgrp=g0-2;trunk-context=kpl.invalid@127.0.0.1:5070;transport=tcp")
     assert uri.user == "+27115550100" and uri.user_params["tgrp"] == "g0-2"
     assert (uri.host, uri.port, uri.params["transport"]) == ("127.0.0.1", 5070, "tcp")
 
