--- a/gingergap/cli/main.py
+++ b/gingergap/cli/main.py
@@ -99,10 +99,10 @@
 
 def _places(form: Any) -> tuple[list[tuple[str, int]], list[tuple[str, int]], dict[tuple[str, int], int]]:
     """Proxies, exchanges' addresses, and which exchange number an address belongs to."""
-    from ..sip.fields import host_port
+    from ..sip.fields import parse_host_port
 
-    proxies = [host_port(text) for text in form.places.proxy]
-    exchanges = [host_port(text) for text in form.places.exchange]
+    proxies = [parse_host_port(text) for text in form.places.proxy]
+    exchanges = [parse_host_port(text) for text in form.places.exchange]
     homes = {address: number for number, address in enumerate(proxies)}
     homes |= {address: place // 2 for place, address in enumerate(exchanges)}
     return proxies, exchanges, homes
@@ -138,11 +138,13 @@
 def standin_caller(settings: Path) -> None:
     """Call from one exchange through a day."""
     form, plan = _standin(settings)
-    from ..sip.fields import host_port
+    from ..sip.fields import parse_host_port
     from ..standins import caller
 
     proxies, _, _ = _places(form)
-    caller.play(plan, form.number, host_port(form.places.callers[form.number]), proxies[form.number], form.epoch, Path(form.report))
+    caller.play(
+        plan, form.number, parse_host_port(form.places.callers[form.number]), proxies[form.number], form.epoch, Path(form.report)
+    )
 
 
 @standin.command("list")
@@ -150,12 +152,14 @@
 def standin_list(settings: Path) -> None:
     """Be the exchange list through a day."""
     form, plan = _standin(settings)
-    from ..sip.fields import host_port
+    from ..sip.fields import parse_host_port
     from ..standins import exchange_list
 
     proxies, _, _ = _places(form)
     addresses = {number: form.places.exchange[2 * number : 2 * number + 2] for number in range(plan.day.exchanges)}
-    exchange_list.play(plan, host_port(form.places.exchange_list), addresses, form.epoch, frozenset(proxies), Path(form.report))
+    exchange_list.play(
+        plan, parse_host_port(form.places.exchange_list), addresses, form.epoch, frozenset(proxies), Path(form.report)
+    )
 
 
 @main.group()
--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -23,7 +23,7 @@
 from ..membership.transport import DUTIES, MEMBERSHIP, Datagrams
 from ..scheduler.plan import Background, WorkClass
 from ..scheduler.runner import Runner
-from ..sip.fields import host_port
+from ..sip.fields import parse_host_port
 from .proxy import DUTY_FIELD, EdgeProxy
 
 SECOND = 10_000
@@ -94,7 +94,7 @@
         self.proxy, self.work, self.clock, self.log, self.name = proxy, work, clock, log, name
         self.everybody = everybody
         life = time.time_ns() // 1_000_000 << 8 | secrets.randbits(8)
-        self.datagrams = Datagrams(host_port(listen), Sealer(key, name, life), self._got)
+        self.datagrams = Datagrams(parse_host_port(listen), Sealer(key, name, life), self._got)
         now = clock()
         self.members = Members(
             self,
--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -15,7 +15,7 @@
 from ..brain import CallController
 from ..host import GwState, LegEnd, ListEntry, Rsn, TrafficType
 from ..sip.dialogs import next_hop, release_of
-from ..sip.fields import address_of, host_port, parse_uri, parse_via, seconds_of, tag_of, top_via
+from ..sip.fields import address_of, parse_host_port, parse_uri, parse_via, seconds_of, tag_of, top_via
 from ..sip.message import BadMessageError, Message, response
 from ..sip.transactions import MAGIC_COOKIE, ClientFailure, ClientTransaction, Hop, ServerTransaction, Transactions, Wire
 from ..store.audit import Audit
@@ -840,7 +840,7 @@
                 continue  # a machine that came and went: nobody asks for it
             gw = self._gw(id_, word.number)
             if word.address:
-                self.hops[gw] = Hop(word.transport, *host_port(word.address))
+                self.hops[gw] = Hop(word.transport, *parse_host_port(word.address))
             state = GwState(word.state) if self.hops[gw] is not None else GwState.GONE
             entries.append(ListEntry(gw, word.number, state, self._start(now, gw, word.started)))
         self.controller.list_pushed(now, entries, False)
--- a/gingergap/edge/serve.py
+++ b/gingergap/edge/serve.py
@@ -12,7 +12,7 @@
 from ..control.server import Control
 from ..host import TrafficType
 from ..settings.edge import EdgeForm
-from ..sip.fields import host_port
+from ..sip.fields import parse_host_port
 from ..sip.message import BadMessageError, Message
 from ..sip.transactions import Hop
 from ..store.memory import Memory, Recalled
@@ -72,12 +72,12 @@
         wall,
         fresh,
         log,
-        address=host_port(form.listen),
+        address=parse_host_port(form.listen),
         domain=form.domain,
         here=form.here,
         seed=form.seed,
-        exchanges=[(entry.number, entry.id, host_port(entry.address)) for entry in form.exchange],
-        exchange_list=host_port(form.exchange_list) if form.exchange_list else None,
+        exchanges=[(entry.number, entry.id, parse_host_port(entry.address)) for entry in form.exchange],
+        exchange_list=parse_host_port(form.exchange_list) if form.exchange_list else None,
         types=types,
         kinds=kinds,
         widths=[entry.circuits for entry in form.traffic_type],
@@ -106,7 +106,7 @@
     def __init__(self, form: EdgeForm, log: Any) -> None:
         self.form, self.log = form, log.bind(edge=form.name)
         self.sockets = Sockets(
-            self, host_port(form.listen), most_queued=form.bounds.queued_bytes, most_connections=form.bounds.connections
+            self, parse_host_port(form.listen), most_queued=form.bounds.queued_bytes, most_connections=form.bounds.connections
         )
         self.proxy: EdgeProxy | None = None
         self.over = Event()
--- a/gingergap/settings/edge.py
+++ b/gingergap/settings/edge.py
@@ -4,14 +4,14 @@
 
 from pydantic import AfterValidator, Field, model_validator
 
-from ..sip.fields import host_port
+from ..sip.fields import parse_host_port
 from ..sip.message import BadMessageError
 from .forms import Form
 
 
 def _address(text: str) -> str:
     try:
-        host, port = host_port(text, 0)
+        host, port = parse_host_port(text, 0)
     except BadMessageError:
         raise ValueError("not host:port") from None
     if not port or not host.replace(".", "").isdigit():
--- a/gingergap/sip/fields.py
+++ b/gingergap/sip/fields.py
@@ -46,7 +46,7 @@
 
 
 @lru_cache(REMEMBERED)
-def host_port(text: str, port: int = 5060) -> tuple[str, int]:
+def parse_host_port(text: str, port: int = 5060) -> tuple[str, int]:
     """Raises BadMessageError where the port is none."""
     text = text.strip()
     if text.startswith("["):
@@ -65,14 +65,14 @@
     if head[:8] == "SIP/2.0/" and head.count(" ") == 1:  # as nearly all are written
         transport, _, sent_by = head[8:].partition(" ")
         if transport and "/" not in transport:
-            return Via(transport.upper(), *host_port(sent_by), parse_params(rest))
+            return Via(transport.upper(), *parse_host_port(sent_by), parse_params(rest))
     words = head.split()
     if len(words) < 2:
         raise BadMessageError("Via is not a protocol and an address")
     protocol = "".join(words[:-1]).split("/")
     if len(protocol) != 3 or protocol[0].upper() != "SIP" or protocol[1] != "2.0":
         raise BadMessageError("Via names another protocol")
-    host, port = host_port(words[-1])
+    host, port = parse_host_port(words[-1])
     return Via(protocol[2].upper(), host, port, parse_params(rest))
 
 
@@ -120,7 +120,7 @@
     rest = rest.partition("?")[0]
     user, at, where = rest.rpartition("@")
     where, _, params = where.partition(";")
-    host, port = host_port(where, 5061 if scheme == "sips" else 5060)
+    host, port = parse_host_port(where, 5061 if scheme == "sips" else 5060)
     user, _, user_params = user.partition(";")
     return Uri(scheme, user.partition(":")[0] if at else "", host, port, parse_params(params), parse_params(user_params))
 
