--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -15,7 +15,7 @@
 from ..brain import CallController
 from ..host import GwState, LegEnd, ListEntry, Rsn, TrafficType
 from ..sip.dialogs import next_hop, release_of
-from ..sip.fields import address_of, parse_host_port, parse_uri, parse_via, seconds_of, tag_of, top_via
+from ..sip.fields import parse_address, parse_host_port, parse_uri, parse_via, seconds_of, tag_of, top_via
 from ..sip.message import BadMessageError, Message, response
 from ..sip.transactions import MAGIC_COOKIE, ClientFailure, ClientTransaction, Hop, ServerTransaction, Transactions, Wire
 from ..store.audit import Audit
@@ -358,7 +358,7 @@
             contact = message.get("Contact")
             if not contact:
                 raise BadMessageError("Contact is missing")
-            parse_uri(address_of(message.all("Contact")[0])[0])
+            parse_uri(parse_address(message.all("Contact")[0])[0])
         except BadMessageError as bad:
             self._answer(now, server, bad.status or 400, [("Warning", f'399 {self.domain} "{_plain(str(bad))}"')])
             return
@@ -656,7 +656,7 @@
             first = message.get("Route")
             if not first:
                 return
-            uri = parse_uri(address_of(message.all("Route")[0])[0])
+            uri = parse_uri(parse_address(message.all("Route")[0])[0])
             if (uri.host, uri.port) != self.address:
                 return
             message.pop_first("Route")
--- a/gingergap/sip/dialogs.py
+++ b/gingergap/sip/dialogs.py
@@ -1,6 +1,6 @@
 """Dialogs of RFC 3261 section 12: what a user agent keeps of one, and requests built within it."""
 
-from .fields import address_of, parse_uri, tag_of
+from .fields import parse_address, parse_uri, tag_of
 from .message import BadMessageError, Message
 from .transactions import Hop
 
@@ -26,7 +26,7 @@
             answer.call_id,
             answer.get("From"),
             answer.get("To"),
-            address_of(contact[0])[0],
+            parse_address(contact[0])[0],
             answer.all("Record-Route")[::-1],
             number,
             0,
@@ -44,7 +44,7 @@
             invite.call_id,
             to if tag_of(to) else f"{to};tag={tag}",
             invite.get("From"),
-            address_of(contact[0])[0],
+            parse_address(contact[0])[0],
             invite.all("Record-Route"),
             0,
             number,
@@ -80,7 +80,7 @@
 def next_hop(message: Message) -> Hop:
     """Where a request goes next (section 8.1.2): its first Route, else its Request-URI. Raises BadMessageError."""
     routes = message.all("Route")
-    uri = parse_uri(address_of(routes[0])[0] if routes else message.uri)
+    uri = parse_uri(parse_address(routes[0])[0] if routes else message.uri)
     transport = uri.params.get("transport", "udp").upper()
     if transport not in ("UDP", "TCP") or not uri.host:
         raise BadMessageError("the next hop is not one that is served", 400, message)
@@ -92,7 +92,7 @@
     and BYE need stands in the response, so a leg is released even when nothing else is known of it."""
     dialog = SipDialog.of_uac(answer)
     for place, entry in enumerate(dialog.route):
-        uri = parse_uri(address_of(entry)[0])
+        uri = parse_uri(parse_address(entry)[0])
         if (uri.host, uri.port) == own:
             dialog.route = dialog.route[place + 1 :]
             break
--- a/gingergap/sip/fields.py
+++ b/gingergap/sip/fields.py
@@ -86,7 +86,7 @@
 
 
 @lru_cache(REMEMBERED)
-def address_of(value: str) -> tuple[str, dict[str, str]]:
+def parse_address(value: str) -> tuple[str, dict[str, str]]:
     """URI and field parameters (shared, not to be changed) of From, To, Contact, Route (section 20.10)."""
     open_at = value.rfind("<") if '"' in value else value.find("<")
     if open_at >= 0:
@@ -102,7 +102,7 @@
     """The tag of From or To; an empty text where there is none."""
     at = value.find(";tag=", value.rfind(">") + 1)
     if at < 0:
-        return address_of(value)[1].get("tag", "") if ";" in value else ""
+        return parse_address(value)[1].get("tag", "") if ";" in value else ""
     end = value.find(";", at + 5)
     return value[at + 5 :] if end < 0 else value[at + 5 : end]
 
--- a/gingergap/standins/exchange.py
+++ b/gingergap/standins/exchange.py
@@ -18,7 +18,7 @@
 
 from ..duties.leases import Fence, Token
 from ..sip.dialogs import SipDialog, next_hop
-from ..sip.fields import address_of, parse_params, parse_uri, q850, tag_of, top_via
+from ..sip.fields import parse_address, parse_params, parse_uri, q850, tag_of, top_via
 from ..sip.message import BadMessageError, Message, response
 from ..sip.transactions import MAGIC_COOKIE, ClientFailure, ClientTransaction, Hop, ServerTransaction, record_source
 from .capture import Capture, HarmfulGate
@@ -298,7 +298,7 @@
 
     def _got_request(self, message: Message, hop: Hop) -> None:
         routes = message.all("Route")
-        if routes and (uri := parse_uri(address_of(routes[0])[0])) and (uri.host, uri.port) == self.address:
+        if routes and (uri := parse_uri(parse_address(routes[0])[0])) and (uri.host, uri.port) == self.address:
             self._pass_within(message, hop)
             return
         user = parse_uri(message.uri).user
@@ -373,7 +373,7 @@
         """A request within a dialog in transit: on along its route set; a BYE frees the circuits here."""
         while True:
             routes = message.all("Route")
-            uri = parse_uri(address_of(routes[0])[0]) if routes else None
+            uri = parse_uri(parse_address(routes[0])[0]) if routes else None
             if uri is None or (uri.host, uri.port) != self.address:
                 break
             message.pop_first("Route")
--- a/tests/test_sip_message.py
+++ b/tests/test_sip_message.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gingergap.sip.fields import address_of, parse_uri, parse_via, reason_of, seconds_of, tag_of
+from gingergap.sip.fields import parse_address, parse_uri, parse_via, reason_of, seconds_of, tag_of
 from gingergap.sip.framing import Framer
 from gingergap.sip.message import BadMessageError, Message, check_request, parse, response, split_list
 
@@ -34,7 +34,7 @@
         ("UDP", "192.168.255.111", "z9hG4bK30239"),
     ]
     assert len(message.all("Contact")) == 1
-    uri, params = address_of(message.all("Contact")[0])
+    uri, params = parse_address(message.all("Contact")[0])
     assert uri == "sip:jdrosen@wine.example" and params["q"] == "0.33"
     assert message.body == b"body"
 
@@ -229,7 +229,7 @@
             if message.method:
                 check_request(message)
             [parse_via(value) for value in message.all("Via")]
-            address_of(message.get("From"))
+            parse_address(message.get("From"))
             bytes(response(message, 400, "t"))
         except BadMessageError:
             pass
