--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -15,7 +15,7 @@
 from ..brain import CallController
 from ..host import GwState, LegEnd, ListEntry, Rsn, TrafficType
 from ..sip.dialogs import next_hop, release_of
-from ..sip.fields import parse_address, parse_host_port, parse_uri, parse_via, seconds_of, tag_of, top_via
+from ..sip.fields import parse_address, parse_host_port, parse_seconds, parse_uri, parse_via, tag_of, top_via
 from ..sip.message import BadMessageError, Message, response
 from ..sip.transactions import MAGIC_COOKIE, ClientFailure, ClientTransaction, Hop, ServerTransaction, Transactions, Wire
 from ..store.audit import Audit
@@ -722,7 +722,7 @@
             self._subscribe(now, sub, sub.watching.refused(now))
             return
         try:
-            lasts = seconds_of(message, "Expires", sub.watching.lasts // SECOND) * SECOND
+            lasts = parse_seconds(message, "Expires", sub.watching.lasts // SECOND) * SECOND
         except BadMessageError:
             lasts = sub.watching.lasts
         sub.to = message.get("To")
--- a/gingergap/edge/words.py
+++ b/gingergap/edge/words.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from ..host import LegEnd, Rsn
-from ..sip.fields import parse_params, q850, reason_of, seconds_of
+from ..sip.fields import parse_params, parse_seconds, q850, reason_of
 from ..sip.message import BadMessageError, Message
 
 NO_CIRCUIT, CONGESTION, USER_BUSY, REJECTED, NORMAL, OUT_OF_ORDER, TIMER = 34, 42, 17, 21, 16, 38, 102
@@ -94,7 +94,7 @@
     """Tenths of a millisecond until the caller gives up: the finer mark where a proxy gave one, else Expires."""
     if told.time_left >= 0:
         return told.time_left * 10
-    return seconds_of(message, "Expires", default_s) * 10_000
+    return parse_seconds(message, "Expires", default_s) * 10_000
 
 
 def kind_of(message: Message, kinds: dict[str, int]) -> int:
--- a/gingergap/sip/fields.py
+++ b/gingergap/sip/fields.py
@@ -142,7 +142,7 @@
     return "Reason", f"Q.850;cause={cause}" + (f";location={location}" if location else "")
 
 
-def seconds_of(message: Message, name: str, default: int) -> int:
+def parse_seconds(message: Message, name: str, default: int) -> int:
     """Whole seconds of Expires or Retry-After; what follows them is a comment or parameters."""
     text = message.get(name).strip().split(" ")[0].partition(";")[0].partition("(")[0]
     if not text:
--- a/gingergap/standins/caller.py
+++ b/gingergap/standins/caller.py
@@ -15,7 +15,7 @@
 
 from ..edge.words import MARKS
 from ..sip.dialogs import SipDialog, next_hop
-from ..sip.fields import reason_of, seconds_of, tag_of
+from ..sip.fields import parse_seconds, reason_of, tag_of
 from ..sip.message import Message, response
 from ..sip.transactions import MAGIC_COOKIE, ClientFailure, ClientTransaction, Hop, ServerTransaction, TransactionState
 from .capture import Capture, HarmfulGate
@@ -192,7 +192,7 @@
         if message.status >= 300:
             if not attempt.status:
                 attempt.status = message.status
-                attempt.retry_after = seconds_of(message, "Retry-After", 0)
+                attempt.retry_after = parse_seconds(message, "Retry-After", 0)
                 attempt.answered.set()
             return
         if attempt.dialog is None:
--- a/gingergap/standins/notifier.py
+++ b/gingergap/standins/notifier.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from ..sip.dialogs import SipDialog, next_hop
-from ..sip.fields import seconds_of
+from ..sip.fields import parse_seconds
 from ..sip.message import BadMessageError, Message, response
 from ..sip.transactions import MAGIC_COOKIE, ClientTransaction, ServerTransaction, Transactions
 
@@ -33,7 +33,7 @@
     def subscribe(self, now: int, server: ServerTransaction, message: Message) -> None:
         """A SUBSCRIBE, the first or one that refreshes: answered, and the full state sent at once."""
         try:
-            lasts = min(seconds_of(message, "Expires", self.longest), self.longest)
+            lasts = min(parse_seconds(message, "Expires", self.longest), self.longest)
             subscription = self.subscriptions.get(message.call_id)
             tag = secrets.token_hex(4)
             if ";tag=" in message.get("To"):
--- a/tests/test_sip_message.py
+++ b/tests/test_sip_message.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gingergap.sip.fields import parse_address, parse_uri, parse_via, reason_of, seconds_of, tag_of
+from gingergap.sip.fields import parse_address, parse_seconds, parse_uri, parse_via, reason_of, tag_of
 from gingergap.sip.framing import Framer
 from gingergap.sip.message import BadMessageError, Message, check_request, parse, response, split_list
 
@@ -136,10 +136,10 @@
 
 
 def test_seconds_with_a_comment():
-    assert seconds_of(Message(fields=[("Retry-After", "18000;duration=3600")]), "Retry-After", 0) == 18000
-    assert seconds_of(Message(fields=[("Retry-After", "120 (I'm in a meeting)")]), "Retry-After", 0) == 120
+    assert parse_seconds(Message(fields=[("Retry-After", "18000;duration=3600")]), "Retry-After", 0) == 18000
+    assert parse_seconds(Message(fields=[("Retry-After", "120 (I'm in a meeting)")]), "Retry-After", 0) == 120
     with pytest.raises(BadMessageError):
-        seconds_of(Message(fields=[("Expires", "-1")]), "Expires", 0)
+        parse_seconds(Message(fields=[("Expires", "-1")]), "Expires", 0)
 
 
 NAME = st.sampled_from(["X-One", "Subject", "Warning", "P-Thing"])
