--- a/gingergap/edge/words.py
+++ b/gingergap/edge/words.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from ..host import LegEnd, Rsn
-from ..sip.fields import parse_params, parse_seconds, q850, reason_of
+from ..sip.fields import parse_params, parse_seconds, q850, q850_cause_of
 from ..sip.message import BadMessageError, Message
 
 NO_CIRCUIT, CONGESTION, USER_BUSY, REJECTED, NORMAL, OUT_OF_ORDER, TIMER = 34, 42, 17, 21, 16, 38, 102
@@ -47,7 +47,7 @@
 
 def leg_end(message: Message, over_tandem: bool) -> tuple[LegEnd, Rsn]:
     """What a final failure response to a leg means."""
-    cause, where = reason_of(message)
+    cause, where = q850_cause_of(message)
     status = message.status
     if status in (486, 600) or cause == USER_BUSY:
         return LegEnd.BUSY, Rsn.LINES_BUSY
@@ -87,7 +87,7 @@
 
 def release_end(message: Message) -> LegEnd:
     """Whether a BYE ends a dialog as it should, or tells that it was cut."""
-    return LegEnd.CUT if reason_of(message)[0] in CUT_CAUSES else LegEnd.ENDED
+    return LegEnd.CUT if q850_cause_of(message)[0] in CUT_CAUSES else LegEnd.ENDED
 
 
 def time_left(message: Message, told: Marks, default_s: int) -> int:
--- a/gingergap/sip/fields.py
+++ b/gingergap/sip/fields.py
@@ -125,7 +125,7 @@
     return Uri(scheme, user.partition(":")[0] if at else "", host, port, parse_params(params), parse_params(user_params))
 
 
-def reason_of(message: Message) -> tuple[int, str]:
+def q850_cause_of(message: Message) -> tuple[int, str]:
     """The Q.850 cause and its location (RFC 3326, RFC 8606); 0 and an empty text where none is given."""
     for value in message.all("Reason"):
         protocol, _, rest = value.partition(";")
--- a/gingergap/standins/caller.py
+++ b/gingergap/standins/caller.py
@@ -15,7 +15,7 @@
 
 from ..edge.words import MARKS
 from ..sip.dialogs import SipDialog, next_hop
-from ..sip.fields import parse_seconds, reason_of, tag_of
+from ..sip.fields import parse_seconds, q850_cause_of, tag_of
 from ..sip.message import Message, response
 from ..sip.transactions import MAGIC_COOKIE, ClientFailure, ClientTransaction, Hop, ServerTransaction, TransactionState
 from .capture import Capture, HarmfulGate
@@ -219,7 +219,7 @@
         if message.method == "BYE" and attempt is not None:
             self.transactions.respond(now, server, response(message, 200))
             if not attempt.ended.is_set():
-                attempt.cut = reason_of(message)[0] in (27, 38, 41)
+                attempt.cut = q850_cause_of(message)[0] in (27, 38, 41)
                 attempt.ended.set()
         else:
             self.transactions.respond(now, server, response(message, 481 if message.method == "BYE" else 405, "x"))
--- a/gingergap/switches/messages.py
+++ b/gingergap/switches/messages.py
@@ -8,7 +8,7 @@
 import re
 from typing import Protocol
 
-from ..sip.fields import reason_of
+from ..sip.fields import q850_cause_of
 from ..sip.framing import Framer
 from ..sip.message import BadMessageError, Message, parse
 
@@ -86,7 +86,7 @@
         if not ID.match(id):
             raise BadMessageError("Call-ID is not 16 hex digits", 400, message)
         if message.method == "BYE":
-            self.taker.released(id, reason_of(message)[0], report)
+            self.taker.released(id, q850_cause_of(message)[0], report)
         elif message.status >= 200:
             method = message.cseq()[1]
             if method == "INVITE" and message.status < 300:
--- a/tests/test_edge_proxy.py
+++ b/tests/test_edge_proxy.py
@@ -3,7 +3,7 @@
 import pytest
 
 from gingergap.host import LegEnd
-from gingergap.sip.fields import reason_of, top_via
+from gingergap.sip.fields import q850_cause_of, top_via
 from gingergap.sip.message import Message
 from gingergap.sip.transactions import Hop
 
@@ -249,14 +249,14 @@
         for again in peers.legs(invite.call_id)[1:]:
             peers.answer(again, 503, fields=[("Reason", "Q.850;cause=42")])
     (final,) = [m for m, h in peers.sent if m.status == 503 and h.port == 9000]
-    assert reason_of(final) == (42, "RLN")
+    assert q850_cause_of(final) == (42, "RLN")
 
 
 def test_a_transit_dialog_judged_too_much_is_turned_back_as_such(peers):
     peers.tell_groups({1: 0, 2: 20, 3: 20})
     peers.invite(fields=[("Gingergap-Dialog", "transit;time-left=1500")])
     (final,) = [m for m, h in peers.sent if m.status == 503 and h.port == 9000]
-    assert reason_of(final) == (21, "TN") and not final.has("Retry-After")
+    assert q850_cause_of(final) == (21, "TN") and not final.has("Retry-After")
 
 
 def test_two_proxies_as_each_others_tandems_at_once(peers):
--- a/tests/test_sip_message.py
+++ b/tests/test_sip_message.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gingergap.sip.fields import parse_address, parse_seconds, parse_uri, parse_via, reason_of, tag_of
+from gingergap.sip.fields import parse_address, parse_seconds, parse_uri, parse_via, q850_cause_of, tag_of
 from gingergap.sip.framing import Framer
 from gingergap.sip.message import BadMessageError, Message, check_request, parse, response, split_list
 
@@ -131,8 +131,8 @@
 
 def test_reasons_of_other_protocols_are_passed_over():
     message = Message(fields=[("Reason", 'SIP;cause=200, Q.850;cause=34;text="no, circuit"')])
-    assert reason_of(message) == (34, "")
-    assert reason_of(Message(fields=[("Reason", "Q.850;cause=x")])) == (0, "")
+    assert q850_cause_of(message) == (34, "")
+    assert q850_cause_of(Message(fields=[("Reason", "Q.850;cause=x")])) == (0, "")
 
 
 def test_seconds_with_a_comment():
