--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -374,14 +374,14 @@
             return
         far = self.numbering.exchange(number)
         if far < 0:
-            self._answer(now, server, 404, [words.q850(1)])
+            self._answer(now, server, 404, [words.q850_reason(1)])
             return
         kind = words.kind_of(message, self.kinds)
         away = self.door.shut(kind, self.open_dialogs)
         if away:
             self._count("turned away at the door")
             self._note("turned_away", kind, int(self.door.lag), self.open_dialogs)
-            self._answer(now, server, 503, [("Retry-After", str(away)), words.q850(words.CONGESTION)])
+            self._answer(now, server, 503, [("Retry-After", str(away)), words.q850_reason(words.CONGESTION)])
             return
         call = Call(self.call_count, server, message, kind, self.widths[kind], far, key, told.transit, told.redialled, now, number)
         if told.transit:
@@ -608,7 +608,7 @@
             if key not in self.released:
                 self.released[key] = self.now + 64 * self.transactions.t1
                 bye = dialog.request("BYE")
-                bye.fields.append(words.q850(words.NORMAL))
+                bye.fields.append(words.q850_reason(words.NORMAL))
                 self.transactions.request(now, bye, next_hop(bye), self._branch())
         except BadMessageError:
             self._count("late answers without a way back")
--- a/gingergap/edge/words.py
+++ b/gingergap/edge/words.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from ..host import LegEnd, Rsn
-from ..sip.fields import parse_params, parse_seconds, q850, q850_cause_of
+from ..sip.fields import parse_params, parse_seconds, q850_cause_of, q850_reason
 from ..sip.message import BadMessageError, Message
 
 NO_CIRCUIT, CONGESTION, USER_BUSY, REJECTED, NORMAL, OUT_OF_ORDER, TIMER = 34, 42, 17, 21, 16, 38, 102
@@ -68,13 +68,13 @@
     """Status and fields of a dialog declined after a last leg that ended so (none: no leg). `hold_off` in tenths of
     a millisecond; SIP has whole seconds, and a caller asked to stay away is not let back early."""
     if how == LegEnd.BUSY:
-        return (486, [q850(USER_BUSY)]) if rsn == Rsn.LINES_BUSY else (480, [q850(41)])
+        return (486, [q850_reason(USER_BUSY)]) if rsn == Rsn.LINES_BUSY else (480, [q850_reason(41)])
     fields = [
-        q850(CONGESTION, BEYOND if transit else "")
+        q850_reason(CONGESTION, BEYOND if transit else "")
         if rsn in (Rsn.PROCESSOR_FULL, Rsn.BEYOND_TANDEM_FULL)
-        else q850(REJECTED, TANDEM)
+        else q850_reason(REJECTED, TANDEM)
         if transit
-        else q850(NO_CIRCUIT)
+        else q850_reason(NO_CIRCUIT)
     ]
     if hold_off > 0:
         fields.append(("Retry-After", str(math.ceil(hold_off / 10_000))))
@@ -82,7 +82,7 @@
 
 
 def aborted() -> tuple[int, list[tuple[str, str]]]:
-    return 408, [q850(TIMER)]
+    return 408, [q850_reason(TIMER)]
 
 
 def release_end(message: Message) -> LegEnd:
--- a/gingergap/sip/fields.py
+++ b/gingergap/sip/fields.py
@@ -137,7 +137,7 @@
     return 0, ""
 
 
-def q850(cause: int, location: str = "") -> tuple[str, str]:
+def q850_reason(cause: int, location: str = "") -> tuple[str, str]:
     """A Reason field with a cause of Q.850."""
     return "Reason", f"Q.850;cause={cause}" + (f";location={location}" if location else "")
 
--- a/gingergap/standins/exchange.py
+++ b/gingergap/standins/exchange.py
@@ -18,7 +18,7 @@
 
 from ..duties.leases import Fence, Token
 from ..sip.dialogs import SipDialog, next_hop
-from ..sip.fields import parse_address, parse_params, parse_uri, q850, tag_of, top_via
+from ..sip.fields import parse_address, parse_params, parse_uri, q850_reason, tag_of, top_via
 from ..sip.message import BadMessageError, Message, response
 from ..sip.transactions import MAGIC_COOKIE, ClientFailure, ClientTransaction, Hop, ServerTransaction, record_source
 from .capture import Capture, HarmfulGate
@@ -399,11 +399,11 @@
             return False
         if self._wait() > processor.turn_away_after_ms / 1000:
             self._put(processor.refuse_ms, lambda: None)
-            refuse(503, "full", [q850(42)])
+            refuse(503, "full", [q850_reason(42)])
             return False
         if self.shared.held(here, source) + width > self.plan.size(here, source, self.now()):
             self._put(processor.refuse_ms, lambda: None)
-            refuse(503, "none", [q850(34)])
+            refuse(503, "none", [q850_reason(34)])
             return False
         self.shared.add(source, here, width)
         self.held[key] = Held(source, width, self.now(), transit)
@@ -420,7 +420,7 @@
         if held is None or held.released or held.transit or held.dialog is None or not held.stands:
             return
         bye = held.dialog.request("BYE")
-        bye.fields.append(q850(38))
+        bye.fields.append(q850_reason(38))
         self._free(key)
         self.transactions.request(units(), bye, next_hop(bye), MAGIC_COOKIE + secrets.token_hex(8))
 
@@ -486,7 +486,7 @@
                 return  # called off meanwhile: the work was for nothing
             if self.draw.random() < self.plan.day.processor.lines_busy:
                 self._free(key)
-                self.transactions.respond(units(), server, response(message, 486, self._tag(key), [q850(17)]))
+                self.transactions.respond(units(), server, response(message, 486, self._tag(key), [q850_reason(17)]))
                 return
             tag = self._tag(key)
             held.dialog = SipDialog.of_uas(message, tag)
