--- a/gingergap/sip/dialogs.py
+++ b/gingergap/sip/dialogs.py
@@ -16,7 +16,7 @@
         self.invite_cseq = cseq
 
     @classmethod
-    def of_uac(cls, answer: Message) -> "SipDialog":
+    def from_response(cls, answer: Message) -> "SipDialog":
         """From a response that makes a dialog (section 12.1.2): Record-Route in reverse is the route set."""
         number, _ = answer.cseq()
         contact = answer.all("Contact")
@@ -90,7 +90,7 @@
 def release_of(answer: Message, own: tuple[str, int]) -> SipDialog:
     """The dialog of a 2xx that nobody wants, as seen by the proxy at `own` on its path: everything that ACK
     and BYE need stands in the response, so a leg is released even when nothing else is known of it."""
-    dialog = SipDialog.of_uac(answer)
+    dialog = SipDialog.from_response(answer)
     for place, entry in enumerate(dialog.route):
         uri = parse_uri(parse_address(entry)[0])
         if (uri.host, uri.port) == own:
--- a/gingergap/standins/caller.py
+++ b/gingergap/standins/caller.py
@@ -197,7 +197,7 @@
             return
         if attempt.dialog is None:
             attempt.status = message.status
-            attempt.dialog = SipDialog.of_uac(message)
+            attempt.dialog = SipDialog.from_response(message)
             attempt.ack = attempt.dialog.request("ACK")
             attempt.ack.push(
                 "Via",
--- a/tests/test_sip_transactions.py
+++ b/tests/test_sip_transactions.py
@@ -346,7 +346,7 @@
             ("Contact", "<sip:b@127.0.0.1:9;transport=tcp>"),
         ],
     )
-    dialog = SipDialog.of_uac(answer)
+    dialog = SipDialog.from_response(answer)
     ack, bye = dialog.request("ACK"), dialog.request("BYE")
     assert ack.cseq() == (7, "ACK") and bye.cseq() == (8, "BYE")
     assert bye.all("Route") == ["<sip:p1:3;lr>", "<sip:x:2;lr>", "<sip:p2:1;lr>"]
@@ -359,7 +359,7 @@
 
 def test_a_2xx_without_contact_makes_no_dialog():
     with pytest.raises(BadMessageError):
-        SipDialog.of_uac(Message(status=200, fields=[("CSeq", "1 INVITE")]))
+        SipDialog.from_response(Message(status=200, fields=[("CSeq", "1 INVITE")]))
 
 
 def test_requests_out_of_order_within_a_dialog_are_seen():
