--- a/gingergap/sip/dialogs.py
+++ b/gingergap/sip/dialogs.py
@@ -33,7 +33,7 @@
         )
 
     @classmethod
-    def of_uas(cls, invite: Message, tag: str) -> "SipDialog":
+    def from_request(cls, invite: Message, tag: str) -> "SipDialog":
         """From a request taken (section 12.1.1): Record-Route in order is the route set."""
         contact = invite.all("Contact")
         if not contact:
--- a/gingergap/standins/exchange.py
+++ b/gingergap/standins/exchange.py
@@ -489,7 +489,7 @@
                 self.transactions.respond(units(), server, response(message, 486, self._tag(key), [q850_reason(17)]))
                 return
             tag = self._tag(key)
-            held.dialog = SipDialog.of_uas(message, tag)
+            held.dialog = SipDialog.from_request(message, tag)
             held.answer = response(
                 message,
                 200,
--- a/gingergap/standins/notifier.py
+++ b/gingergap/standins/notifier.py
@@ -42,7 +42,7 @@
                     return
                 subscription.ends = now + lasts * SECOND
             else:
-                subscription = Subscription(SipDialog.of_uas(message, tag), now + lasts * SECOND, message.call_id)
+                subscription = Subscription(SipDialog.from_request(message, tag), now + lasts * SECOND, message.call_id)
         except BadMessageError as bad:
             self.transactions.respond(now, server, response(message, bad.status or 400))
             return
--- a/tests/test_sip_transactions.py
+++ b/tests/test_sip_transactions.py
@@ -365,5 +365,5 @@
 def test_requests_out_of_order_within_a_dialog_are_seen():
     invite = request()
     invite.fields.append(("Contact", "<sip:a@h>"))
-    dialog = SipDialog.of_uas(invite, "t")
+    dialog = SipDialog.from_request(invite, "t")
     assert dialog.taken(Message(fields=[("CSeq", "5 BYE")])) and not dialog.taken(Message(fields=[("CSeq", "4 BYE")]))
