--- a/gingergap/sip/framing.py
+++ b/gingergap/sip/framing.py
@@ -29,9 +29,9 @@
 
     def feed(self, data: bytes) -> list[Any]:
         """Messages that are now whole. One that is framed but unusable comes as its error, in its place."""
-        return list(self.cut(data))
+        return list(self.iter_messages(data))
 
-    def cut(self, data: bytes) -> Iterator[Any]:
+    def iter_messages(self, data: bytes) -> Iterator[Any]:
         """The same one by one: what stands before bytes that are no message has come and counts."""
         self.held += data
         while True:
--- a/gingergap/switches/messages.py
+++ b/gingergap/switches/messages.py
@@ -69,7 +69,7 @@
         return parse(whole, stream=True)
 
     def feed(self, data: bytes) -> None:
-        for message in self.framer.cut(data):
+        for message in self.framer.iter_messages(data):
             if isinstance(message, BadMessageError):
                 raise message
             if message is not None:
--- a/gingergap/transport/sockets.py
+++ b/gingergap/transport/sockets.py
@@ -66,7 +66,7 @@
 
     def came(self, data: bytes) -> None:
         try:
-            for message in self.framer.cut(data):
+            for message in self.framer.iter_messages(data):
                 if isinstance(message, BadMessageError):
                     self.sockets.owner.got_bad(message, self.hop)
                 else:
