--- a/gingergap/sip/framing.py
+++ b/gingergap/sip/framing.py
@@ -24,7 +24,7 @@
         read: Callable[[bytes], Any] = parse_in_stream,
     ) -> None:
         self.most_body, self.most_message, self.read = most_body, most_message, read
-        self.held = bytearray()
+        self.buffer = bytearray()
         self.searched = 0  # no empty line ends before here: a slow sender must not cost a search each byte
 
     def feed(self, data: bytes) -> list[Any]:
@@ -33,30 +33,30 @@
 
     def iter_messages(self, data: bytes) -> Iterator[Any]:
         """The same one by one: what stands before bytes that are no message has come and counts."""
-        self.held += data
+        self.buffer += data
         while True:
             if self.searched == 0:
                 blank = 0
-                while self.held[blank : blank + 2] == b"\r\n":  # keep-alives between messages (RFC 5626)
+                while self.buffer[blank : blank + 2] == b"\r\n":  # keep-alives between messages (RFC 5626)
                     blank += 2
                 if blank:
-                    del self.held[:blank]
-            cut = self.held.find(b"\r\n\r\n", self.searched)
+                    del self.buffer[:blank]
+            cut = self.buffer.find(b"\r\n\r\n", self.searched)
             if cut < 0:
-                if len(self.held) > MOST_HEAD:
+                if len(self.buffer) > MOST_HEAD:
                     raise BadMessageError("header over the size limit", 513)
-                self.searched = max(0, len(self.held) - 3)
+                self.searched = max(0, len(self.buffer) - 3)
                 return
             self.searched = cut
             if cut > MOST_HEAD:
                 raise BadMessageError("header over the size limit", 513)
-            end = cut + 4 + self._length(bytes(self.held[:cut]))
+            end = cut + 4 + self._length(bytes(self.buffer[:cut]))
             if end > self.most_message:
                 raise BadMessageError("the message is over the size limit", 513)
-            if len(self.held) < end:
+            if len(self.buffer) < end:
                 return
-            whole = bytes(self.held[:end])
-            del self.held[:end]
+            whole = bytes(self.buffer[:end])
+            del self.buffer[:end]
             self.searched = 0
             try:
                 yield self.read(whole)
--- a/gingergap/switches/messages.py
+++ b/gingergap/switches/messages.py
@@ -55,7 +55,7 @@
     @property
     def partial(self) -> bool:
         """Whether a message has begun and is not whole."""
-        return bool(self.framer.held)
+        return bool(self.framer.buffer)
 
     def _read(self, whole: bytes) -> Message | None:
         """States come some hundred times a second, and the same on several connections: they are not parsed in full."""
@@ -73,10 +73,10 @@
             if isinstance(message, BadMessageError):
                 raise message
             if message is not None:
-                if message.body and DESCRIPTION_LINE.match(self.framer.held):
+                if message.body and DESCRIPTION_LINE.match(self.framer.buffer):
                     raise BadMessageError("the description goes on behind its length", 400, message)
                 self._take(message)
-        held = self.framer.held
+        held = self.framer.buffer
         if held and not 65 <= held[0] <= 90:
             raise BadMessageError("what follows begins no message", 0)
 
--- a/tests/test_sip_message.py
+++ b/tests/test_sip_message.py
@@ -196,7 +196,7 @@
         at += size
     found += framer.feed(stream[at:])
     assert [bytes(message) for message in found] == [bytes(message) for message in messages]
-    assert not framer.held.strip(b"\r\n")
+    assert not framer.buffer.strip(b"\r\n")
 
 
 @pytest.mark.parametrize(
--- a/tests/test_switches.py
+++ b/tests/test_switches.py
@@ -116,7 +116,7 @@
 @settings(max_examples=150, deadline=None)
 def test_any_bytes_give_calls_an_error_or_a_wait_in_bounded_memory(parts):
     reader = Reader(NotedHost())
-    feed_until(reader, parts, BadMessageError, lambda: reader.framer.held, 2 * MOST_MESSAGE)
+    feed_until(reader, parts, BadMessageError, lambda: reader.framer.buffer, 2 * MOST_MESSAGE)
 
 
 def test_what_goes_out_is_whole_sip_with_id_number_and_description_unchanged():
