--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -22,7 +22,7 @@
 from ..store.memory import Memory, Recalled, Word
 from ..store.records import KeptStanding
 from ..trace.tape import Tape, answer_to, crossing, recorded
-from . import words
+from . import sip_mapping
 from .calls import Asked, Call, Leg, NoServer, Onward
 from .circuits import Circuits
 from .door import Door
@@ -350,8 +350,8 @@
 
     def _invited(self, now: int, server: ServerTransaction, message: Message) -> None:
         try:
-            told = words.marks_of(message)
-            expires = words.time_left(message, told, self.default_expires)
+            told = sip_mapping.marks_of(message)
+            expires = sip_mapping.time_left(message, told, self.default_expires)
             number = parse_uri(message.uri).user
             hops = self._hops_left(message)
             vias = [parse_via(value) for value in message.all("Via")[1:]]
@@ -374,14 +374,14 @@
             return
         far = self.numbering.exchange(number)
         if far < 0:
-            self._answer(now, server, 404, [words.q850_reason(1)])
+            self._answer(now, server, 404, [sip_mapping.q850_reason(1)])
             return
-        kind = words.kind_of(message, self.kinds)
+        kind = sip_mapping.kind_of(message, self.kinds)
         away = self.door.shut(kind, self.open_dialogs)
         if away:
             self._count("turned away at the door")
             self._note("turned_away", kind, int(self.door.lag), self.open_dialogs)
-            self._answer(now, server, 503, [("Retry-After", str(away)), words.q850_reason(words.CONGESTION)])
+            self._answer(now, server, 503, [("Retry-After", str(away)), sip_mapping.q850_reason(sip_mapping.CONGESTION)])
             return
         call = Call(self.call_count, server, message, kind, self.widths[kind], far, key, told.transit, told.redialled, now, number)
         if told.transit:
@@ -447,14 +447,14 @@
         self._count("declined")
         if call.crossing:
             self._note("sent", answer_to(call.crossing), dialog)
-        self._final(self.now, call, *words.declined(call.transit, call.how, call.rsn, hold_off))
+        self._final(self.now, call, *sip_mapping.declined(call.transit, call.how, call.rsn, hold_off))
         if call.leg is None:
             self._forget(call)
 
     def abort(self, dialog: int) -> None:
         call = self.calls[dialog]
         self._count("aborted")
-        self._final(self.now, call, *words.aborted())
+        self._final(self.now, call, *sip_mapping.aborted())
         if call.leg is None:
             self._forget(call)
 
@@ -506,7 +506,7 @@
             invite.push("Record-Route", f"<{self.uri}{came};lr>")
         invite.push("Record-Route", f"<{self.uri}{way};lr>")
         invite.put("Expires", str(max(1, -(-limit // SECOND))))
-        invite.put(words.MARKS, words.marks(call.redialled, False, over, limit // 10))
+        invite.put(sip_mapping.MARKS, sip_mapping.marks(call.redialled, False, over, limit // 10))
         return invite
 
     def _leg_answered(self, now: int, leg: Leg, message: Message) -> None:
@@ -552,7 +552,7 @@
             self.controller.dialog_stands(now, call.index, now - leg.started)
             return
         if not leg.over:
-            self.soon.append((leg, *words.leg_end(message, leg.far != call.far)))
+            self.soon.append((leg, *sip_mapping.leg_end(message, leg.far != call.far)))
 
     def _give_up(self, now: int, leg: Leg, how: LegEnd) -> None:
         """Nobody waits for this leg any more: called off, and its end told as soon as may be."""
@@ -608,7 +608,7 @@
             if key not in self.released:
                 self.released[key] = self.now + 64 * self.transactions.t1
                 bye = dialog.request("BYE")
-                bye.fields.append(words.q850_reason(words.NORMAL))
+                bye.fields.append(sip_mapping.q850_reason(sip_mapping.NORMAL))
                 self.transactions.request(now, bye, next_hop(bye), self._branch())
         except BadMessageError:
             self._count("late answers without a way back")
@@ -639,7 +639,7 @@
         call = by_caller or self.by_key.get((call_id, tag_of(message.get("To"))))
         if call is None or not call.stands or call.leg is None:
             return  # the other end's BYE came before, or the dialog is older than this process
-        self.soon.append((call.leg, LegEnd.ENDED if by_caller else words.release_end(message), 0))
+        self.soon.append((call.leg, LegEnd.ENDED if by_caller else sip_mapping.release_end(message), 0))
 
     def _prepared(self, message: Message) -> Message:
         """A request within a dialog as it goes on: own routes off, one hop less."""
@@ -835,7 +835,7 @@
     def _recall(self, now: int, recalled: Recalled) -> None:
         """What the process before this one knew: the list's words, what was learned, the dialogs that stand."""
         entries = []
-        for id_, word in recalled.words.items():
+        for id_, word in recalled.sip_mapping.items():
             if word.state == GwState.GONE and id_ not in self.gws:
                 continue  # a machine that came and went: nobody asks for it
             gw = self._gw(id_, word.number)
--- a/gingergap/standins/caller.py
+++ b/gingergap/standins/caller.py
@@ -13,7 +13,7 @@
 import msgspec
 from gevent.event import Event
 
-from ..edge.words import MARKS
+from ..edge.sip_mapping import MARKS
 from ..sip.dialogs import SipDialog, next_hop
 from ..sip.fields import parse_seconds, q850_cause_of, tag_of
 from ..sip.message import Message, response
--- a/tests/test_edge_parts.py
+++ b/tests/test_edge_parts.py
@@ -4,7 +4,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from gingergap.edge import words
+from gingergap.edge import sip_mapping
 from gingergap.edge.circuits import BELIEVED, Circuits
 from gingergap.edge.door import Door
 from gingergap.edge.numbering import Numbering
@@ -256,12 +256,12 @@
     [
         (486, [], False, (LegEnd.BUSY, Rsn.LINES_BUSY)),
         (600, [], False, (LegEnd.BUSY, Rsn.LINES_BUSY)),
-        (503, [words.q850_reason(34)], False, (LegEnd.FULL, Rsn.NO_CIRCUIT)),
-        (503, [words.q850_reason(42)], False, (LegEnd.FULL, Rsn.PROCESSOR_FULL)),
+        (503, [sip_mapping.q850_reason(34)], False, (LegEnd.FULL, Rsn.NO_CIRCUIT)),
+        (503, [sip_mapping.q850_reason(42)], False, (LegEnd.FULL, Rsn.PROCESSOR_FULL)),
         (503, [], True, (LegEnd.FULL, Rsn.PROCESSOR_FULL)),
-        (503, [words.q850_reason(42, "RLN")], True, (LegEnd.FULL, Rsn.BEYOND_TANDEM_FULL)),
-        (503, [words.q850_reason(42, "RLN")], False, (LegEnd.FULL, Rsn.PROCESSOR_FULL)),
-        (503, [words.q850_reason(21, "TN")], True, (LegEnd.FULL, Rsn.TANDEM_DECLINED)),
+        (503, [sip_mapping.q850_reason(42, "RLN")], True, (LegEnd.FULL, Rsn.BEYOND_TANDEM_FULL)),
+        (503, [sip_mapping.q850_reason(42, "RLN")], False, (LegEnd.FULL, Rsn.PROCESSOR_FULL)),
+        (503, [sip_mapping.q850_reason(21, "TN")], True, (LegEnd.FULL, Rsn.TANDEM_DECLINED)),
         (408, [], False, (LegEnd.NO_ANSWER, Rsn.NONE)),
         (487, [], False, (LegEnd.NO_ANSWER, Rsn.NONE)),
         (404, [], False, (LegEnd.BUSY, Rsn.NO_WAY)),
@@ -270,28 +270,28 @@
     ],
 )
 def test_what_an_answer_means(status, fields, over_tandem, end):
-    assert words.leg_end(Message(status=status, fields=fields), over_tandem) == end
+    assert sip_mapping.leg_end(Message(status=status, fields=fields), over_tandem) == end
 
 
 @pytest.mark.parametrize("how", [None, *LegEnd])
 @pytest.mark.parametrize("rsn", list(Rsn))
 def test_a_tandems_refusal_is_never_read_as_doubt(how, rsn):
-    status, fields = words.declined(True, how, rsn, 0)
-    end, _ = words.leg_end(Message(status=status, fields=fields), True)
+    status, fields = sip_mapping.declined(True, how, rsn, 0)
+    end, _ = sip_mapping.leg_end(Message(status=status, fields=fields), True)
     assert end in (LegEnd.FULL, LegEnd.BUSY)
 
 
 def test_a_hold_off_is_never_shorter_in_whole_seconds():
-    _, fields = words.declined(False, None, 0, 15_001)
+    _, fields = sip_mapping.declined(False, None, 0, 15_001)
     assert ("Retry-After", "2") in fields
 
 
 def test_marks_go_there_and_back():
-    message = Message(fields=[(words.MARKS, words.marks(True, True, True, 2310))])
-    assert words.marks_of(message) == words.Marks(True, True, True, 2310)
-    assert words.marks_of(Message()) == words.Marks(False, False, False, -1)
+    message = Message(fields=[(sip_mapping.MARKS, sip_mapping.marks(True, True, True, 2310))])
+    assert sip_mapping.marks_of(message) == sip_mapping.Marks(True, True, True, 2310)
+    assert sip_mapping.marks_of(Message()) == sip_mapping.Marks(False, False, False, -1)
     with pytest.raises(BadMessageError):
-        words.marks_of(Message(fields=[(words.MARKS, "transit;time-left=x")]))
+        sip_mapping.marks_of(Message(fields=[(sip_mapping.MARKS, "transit;time-left=x")]))
 
 
 def test_short_messages_reach_those_that_are_ready_and_no_others(peers_of):
