--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -506,7 +506,7 @@
             invite.push("Record-Route", f"<{self.uri}{came};lr>")
         invite.push("Record-Route", f"<{self.uri}{way};lr>")
         invite.put("Expires", str(max(1, -(-limit // SECOND))))
-        invite.put(sip_mapping.MARKS, sip_mapping.marks(call.redialled, False, over, limit // 10))
+        invite.put(sip_mapping.DIALOG_FIELD, sip_mapping.marks(call.redialled, False, over, limit // 10))
         return invite
 
     def _leg_answered(self, now: int, leg: Leg, message: Message) -> None:
--- a/gingergap/edge/sip_mapping.py
+++ b/gingergap/edge/sip_mapping.py
@@ -15,7 +15,7 @@
 NO_CIRCUIT, CONGESTION, USER_BUSY, REJECTED, NORMAL, OUT_OF_ORDER, TIMER = 34, 42, 17, 21, 16, 38, 102
 TANDEM, BEYOND = "TN", "RLN"  # RFC 8606: transit network; remote local network
 CUT_CAUSES = frozenset({27, 38, 41})  # destination out of order, network out of order, temporary failure
-MARKS = "Gingergap-Dialog"
+DIALOG_FIELD = "Gingergap-Dialog"
 
 
 class Marks(NamedTuple):
@@ -29,13 +29,13 @@
 
 def marks_of(message: Message) -> Marks:
     """Raises BadMessageError for a time left that is no number."""
-    text = message.get(MARKS)
+    text = message.get(DIALOG_FIELD)
     if not text:
         return Marks(False, False, False, -1)
     params = parse_params(text)
     left = params.get("time-left", "-1")
     if left != "-1" and not (left.isascii() and left.isdigit() and len(left) < 10):
-        raise BadMessageError(f"{MARKS} has a time-left that is no number", 400, message)
+        raise BadMessageError(f"{DIALOG_FIELD} has a time-left that is no number", 400, message)
     return Marks("redialled" in params, "cut" in params, "transit" in params, int(left))
 
 
--- a/gingergap/standins/caller.py
+++ b/gingergap/standins/caller.py
@@ -13,7 +13,7 @@
 import msgspec
 from gevent.event import Event
 
-from ..edge.sip_mapping import MARKS
+from ..edge.sip_mapping import DIALOG_FIELD
 from ..sip.dialogs import SipDialog, next_hop
 from ..sip.fields import parse_seconds, q850_cause_of, tag_of
 from ..sip.message import Message, response
@@ -142,7 +142,7 @@
         if kind.resource_priority:
             invite.fields.append(("Resource-Priority", kind.resource_priority[0]))
         if marks:
-            invite.fields.append((MARKS, ";".join(marks)))
+            invite.fields.append((DIALOG_FIELD, ";".join(marks)))
         attempt = Try()
         self.tries[call_id, tag] = attempt
         client = self.transactions.request(
--- a/tests/test_edge_parts.py
+++ b/tests/test_edge_parts.py
@@ -287,11 +287,11 @@
 
 
 def test_marks_go_there_and_back():
-    message = Message(fields=[(sip_mapping.MARKS, sip_mapping.marks(True, True, True, 2310))])
+    message = Message(fields=[(sip_mapping.DIALOG_FIELD, sip_mapping.marks(True, True, True, 2310))])
     assert sip_mapping.marks_of(message) == sip_mapping.Marks(True, True, True, 2310)
     assert sip_mapping.marks_of(Message()) == sip_mapping.Marks(False, False, False, -1)
     with pytest.raises(BadMessageError):
-        sip_mapping.marks_of(Message(fields=[(sip_mapping.MARKS, "transit;time-left=x")]))
+        sip_mapping.marks_of(Message(fields=[(sip_mapping.DIALOG_FIELD, "transit;time-left=x")]))
 
 
 def test_short_messages_reach_those_that_are_ready_and_no_others(peers_of):
