--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -21,7 +21,7 @@
 import structlog
 
 from gingergap.brain import CallController
-from gingergap.edge.serve import clock, proxy_of
+from gingergap.edge.serve import build_proxy, clock
 from gingergap.settings.edge import EdgeForm
 from gingergap.settings.forms import parse
 from gingergap.sip.message import parse as parse_sip
@@ -192,7 +192,7 @@
                 caller_lasts=9,
                 damage=book.damage,
             )
-            proxy = proxy_of(
+            proxy = build_proxy(
                 settings_of(60),
                 Nowhere(),
                 structlog.get_logger(),
--- a/gingergap/edge/serve.py
+++ b/gingergap/edge/serve.py
@@ -42,7 +42,7 @@
     return round(ms * 10)
 
 
-def proxy_of(
+def build_proxy(
     form: EdgeForm,
     wire: Any,
     log: Any,
@@ -128,7 +128,7 @@
             self.log.error("address-taken", listen=self.form.listen, why=error.strerror)
             return 2
         recalled = self._open_store()
-        self.proxy = proxy_of(
+        self.proxy = build_proxy(
             self.form,
             self.sockets,
             self.log,
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -13,7 +13,7 @@
 from soak import Soak
 
 from gingergap.brain import CallController
-from gingergap.edge.serve import proxy_of
+from gingergap.edge.serve import build_proxy
 from gingergap.host import GwState, ListEntry, TrafficType
 from gingergap.settings.edge import EdgeForm
 from gingergap.settings.forms import parse as parse_form
@@ -126,7 +126,7 @@
         self.now = 0
         serial = itertools.count(1)
         form = parse_form(settings, "test", edge=EdgeForm)
-        self.proxy = proxy_of(form, self, structlog.get_logger(), 0, 1_000_000.0, lambda size: f"{next(serial):0{size}x}")
+        self.proxy = build_proxy(form, self, structlog.get_logger(), 0, 1_000_000.0, lambda size: f"{next(serial):0{size}x}")
         self.calls = itertools.count(1)
         self.versions = itertools.count(1)
         self.tell_groups({1: 20, 2: 20, 3: 20})
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from gingergap.brain import SECOND, CallController
-from gingergap.edge.serve import proxy_of
+from gingergap.edge.serve import build_proxy
 from gingergap.host import GwState, KnownCaller, KnownExchange, KnownPair, Learned, LegEnd, ListEntry, Rsn
 from gingergap.sip.fields import top_via
 from gingergap.store.audit import Audit
@@ -413,7 +413,7 @@
         made = []
 
         def with_memory(form, wire, log, _now, _wall, fresh):
-            made.append(proxy_of(form, wire, log, now, wall, fresh, None, self.memory, found))
+            made.append(build_proxy(form, wire, log, now, wall, fresh, None, self.memory, found))
             return made[0]
 
         patch = pytest.MonkeyPatch()
--- a/tests/test_spans.py
+++ b/tests/test_spans.py
@@ -9,7 +9,7 @@
 from test_trace import busy, written  # noqa: F401 - busy is a fixture
 
 from gingergap.cli.main import main
-from gingergap.edge.serve import proxy_of
+from gingergap.edge.serve import build_proxy
 from gingergap.metrics.calls import CallFigures
 from gingergap.sip.fields import top_via
 from gingergap.sip.message import Message
@@ -195,7 +195,7 @@
     import conftest
 
     tape = Tape()
-    monkeypatch.setattr(conftest, "proxy_of", lambda *args: proxy_of(*args, tape))
+    monkeypatch.setattr(conftest, "proxy_of", lambda *args: build_proxy(*args, tape))
     return peers_of(), tape
 
 
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -14,7 +14,7 @@
 from gingergap import brain
 from gingergap.brain import CallController
 from gingergap.cli.main import main
-from gingergap.edge.serve import proxy_of
+from gingergap.edge.serve import build_proxy
 from gingergap.settings.edge import EdgeForm
 from gingergap.settings.forms import BadSettingsError
 from gingergap.settings.forms import parse as parse_form
@@ -34,7 +34,7 @@
     import conftest
 
     tape = Tape()
-    monkeypatch.setattr(conftest, "proxy_of", lambda *args: proxy_of(*args, tape))
+    monkeypatch.setattr(conftest, "proxy_of", lambda *args: build_proxy(*args, tape))
     peers = peers_of()
     for number in range(60):
         invite = peers.invite(f"00{1 + number % 3}{number:03d}", expires=2)
