--- a/gingergap/edge/circuits.py
+++ b/gingergap/edge/circuits.py
@@ -36,7 +36,7 @@
             self.groups[number] = Group()
         return self.groups[number]
 
-    def told(self, number: int, free: int, size: int) -> tuple[int, int]:
+    def update(self, number: int, free: int, size: int) -> tuple[int, int]:
         """The exchange's count; returns free and size as the module should have them."""
         group = self._group(number)
         group.free, group.size = max(0, min(free, size)), size
--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -813,7 +813,7 @@
 
     def _groups_told(self, now: int, body: GroupsBody) -> None:
         for line in body.groups:
-            self._group_told(now, line.number, *self.circuits.told(line.number, line.free, line.size))
+            self._group_told(now, line.number, *self.circuits.update(line.number, line.free, line.size))
 
     def _group_told(self, now: int, number: int, free: int, size: int) -> None:
         for dialog in self.audit.told(number, free, size):
--- a/gingergap/emulator/proxies.py
+++ b/gingergap/emulator/proxies.py
@@ -218,7 +218,7 @@
         self._settle()
 
     def group_told(self, number: int, free: int, size: int) -> None:
-        self._group(number, *self.circuits.told(number, free, size))
+        self._group(number, *self.circuits.update(number, free, size))
         self._settle()
 
     def heard(self, told: bytes) -> None:
--- a/tests/test_edge_parts.py
+++ b/tests/test_edge_parts.py
@@ -187,20 +187,20 @@
     circuits = Circuits()
     assert circuits.count(1) == (-1, -1)
     circuits.leg_sent(1, 7, 2)
-    assert circuits.told(1, 5, 10) == (3, 10)
+    assert circuits.update(1, 5, 10) == (3, 10)
     circuits.leg_over(1, 7)
     assert circuits.count(1) == (5, 10)
 
 
 def test_a_turned_back_leg_is_believed_for_a_while():
     circuits = Circuits()
-    circuits.told(1, 5, 10)
+    circuits.update(1, 5, 10)
     circuits.turned_back(100, 1, 2)
     assert circuits.count(1) == (1, 10)
     assert circuits.no_longer_doubted(100 + BELIEVED - 1) == []
     assert circuits.no_longer_doubted(100 + BELIEVED) == [(1, 5, 10)]
     circuits.turned_back(0, 1, 1)
-    assert circuits.told(1, 4, 10) == (4, 10)
+    assert circuits.update(1, 4, 10) == (4, 10)
 
 
 @given(st.lists(st.tuples(st.sampled_from(["told", "sent", "over", "back"]), st.integers(0, 4), st.integers(0, 12)), max_size=40))
@@ -209,7 +209,7 @@
     circuits = Circuits()
     for what, leg, number in events:
         if what == "told":
-            circuits.told(1, number, 10)
+            circuits.update(1, number, 10)
         elif what == "sent":
             circuits.leg_sent(1, leg, 1 + number % 3)
         elif what == "over":
