--- a/gingergap/edge/circuits.py
+++ b/gingergap/edge/circuits.py
@@ -46,7 +46,7 @@
     def leg_sent(self, number: int, leg: int, width: int) -> None:
         self._group(number).sent[leg] = width
 
-    def leg_over(self, number: int, leg: int) -> None:
+    def leg_reported(self, number: int, leg: int) -> None:
         """The leg is over, or the far end has it: from now on it is in the exchange's count, or in none."""
         self._group(number).sent.pop(leg, None)
 
--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -511,7 +511,7 @@
 
     def _leg_answered(self, now: int, leg: Leg, message: Message) -> None:
         call, status = leg.call, message.status
-        self.circuits.leg_over(leg.far, leg.serial)
+        self.circuits.leg_reported(leg.far, leg.serial)
         if status < 200:
             if status > 100 and not call.answered and not leg.over:
                 message.pop_first("Via")
@@ -570,7 +570,7 @@
         leg.over = True
         call.leg = None
         call.how, call.rsn = how, rsn
-        self.circuits.leg_over(leg.far, leg.serial)
+        self.circuits.leg_reported(leg.far, leg.serial)
         if how == LegEnd.FULL and rsn == Rsn.NO_CIRCUIT:
             self.circuits.turned_back(now, leg.far, call.width)
         self._count(f"legs ended {how.name.lower()}")
--- a/gingergap/emulator/proxies.py
+++ b/gingergap/emulator/proxies.py
@@ -187,7 +187,7 @@
         call = leg.call
         if leg.over or leg.given_up or call.answered or not self._mine(leg):
             return False
-        self.circuits.leg_over(leg.number, id(leg))
+        self.circuits.leg_reported(leg.number, id(leg))
         call.stands = True
         self._final(call)
         call.told(200, 0, 0)
@@ -302,7 +302,7 @@
         leg.over = True
         call.leg = None
         call.how, call.rsn = how, rsn
-        self.circuits.leg_over(leg.number, id(leg))
+        self.circuits.leg_reported(leg.number, id(leg))
         if how == LegEnd.FULL and rsn == Rsn.NO_CIRCUIT:
             self.circuits.turned_back(now, leg.number, call.width)
         self.rules.leg_over(now, self.here, call.index, how)
--- a/tests/test_edge_parts.py
+++ b/tests/test_edge_parts.py
@@ -188,7 +188,7 @@
     assert circuits.count(1) == (-1, -1)
     circuits.leg_sent(1, 7, 2)
     assert circuits.update(1, 5, 10) == (3, 10)
-    circuits.leg_over(1, 7)
+    circuits.leg_reported(1, 7)
     assert circuits.count(1) == (5, 10)
 
 
@@ -213,7 +213,7 @@
         elif what == "sent":
             circuits.leg_sent(1, leg, 1 + number % 3)
         elif what == "over":
-            circuits.leg_over(1, leg)
+            circuits.leg_reported(1, leg)
         else:
             circuits.turned_back(0, 1, 1 + number % 3)
         free, size = circuits.count(1)
