--- a/gingergap/edge/circuits.py
+++ b/gingergap/edge/circuits.py
@@ -50,7 +50,7 @@
         """The leg is over, or the far end has it: from now on it is in the exchange's count, or in none."""
         self._group(number).sent.pop(leg, None)
 
-    def turned_back(self, now: int, number: int, width: int) -> None:
+    def group_refused(self, now: int, number: int, width: int) -> None:
         """The far end found no circuit for a leg that wide: with the older count a dialog went to the same full
         group again and again, up to its last leg. Counts are told when they change, so one that was taken and
         freed between two looks is never told: the doubt ends by itself."""
--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -572,7 +572,7 @@
         call.how, call.rsn = how, rsn
         self.circuits.leg_reported(leg.far, leg.serial)
         if how == LegEnd.FULL and rsn == Rsn.NO_CIRCUIT:
-            self.circuits.turned_back(now, leg.far, call.width)
+            self.circuits.group_refused(now, leg.far, call.width)
         self._count(f"legs ended {how.name.lower()}")
         over = call.answered
         if leg.crossing and rsn == Rsn.TANDEM_DECLINED:  # only the proxy there says that
--- a/gingergap/emulator/proxies.py
+++ b/gingergap/emulator/proxies.py
@@ -304,7 +304,7 @@
         call.how, call.rsn = how, rsn
         self.circuits.leg_reported(leg.number, id(leg))
         if how == LegEnd.FULL and rsn == Rsn.NO_CIRCUIT:
-            self.circuits.turned_back(now, leg.number, call.width)
+            self.circuits.group_refused(now, leg.number, call.width)
         self.rules.leg_over(now, self.here, call.index, how)
         over = call.answered
         if over:
--- a/tests/test_edge_parts.py
+++ b/tests/test_edge_parts.py
@@ -195,11 +195,11 @@
 def test_a_turned_back_leg_is_believed_for_a_while():
     circuits = Circuits()
     circuits.update(1, 5, 10)
-    circuits.turned_back(100, 1, 2)
+    circuits.group_refused(100, 1, 2)
     assert circuits.count(1) == (1, 10)
     assert circuits.no_longer_doubted(100 + BELIEVED - 1) == []
     assert circuits.no_longer_doubted(100 + BELIEVED) == [(1, 5, 10)]
-    circuits.turned_back(0, 1, 1)
+    circuits.group_refused(0, 1, 1)
     assert circuits.update(1, 4, 10) == (4, 10)
 
 
@@ -215,7 +215,7 @@
         elif what == "over":
             circuits.leg_reported(1, leg)
         else:
-            circuits.turned_back(0, 1, 1 + number % 3)
+            circuits.group_refused(0, 1, 1 + number % 3)
         free, size = circuits.count(1)
         assert (free, size) == (-1, -1) or 0 <= free <= size
 
