--- a/gingergap/edge/circuits.py
+++ b/gingergap/edge/circuits.py
@@ -25,7 +25,7 @@
         return max(0, free - sum(self.sent.values()))
 
 
-class Circuits:
+class CircuitCounts:
     """The groups of one proxy by the far exchange's number. Times in tenths of a millisecond."""
 
     def __init__(self) -> None:
--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -24,7 +24,7 @@
 from ..trace.tape import Tape, answer_to, crossing, recorded
 from . import sip_mapping
 from .calls import Asked, Call, Leg, NoServer, Onward
-from .circuits import Circuits
+from .circuits import CircuitCounts
 from .door import Door
 from .numbering import Numbering
 from .subscriptions import Ask, Body, Use, Watching
@@ -141,7 +141,7 @@
         self.call_count = 0
         self.open_dialogs = 0  # not yet answered
         self.released: dict[tuple[str, str], int] = {}  # 2xx that nobody wanted: BYE sent, until when noted
-        self.circuits = Circuits()
+        self.circuits = CircuitCounts()
         self.due_legs: list[tuple[int, int, int]] = []  # (when, leg's serial, dialog): not the leg, which may be long over
         self.soon: deque[tuple[Leg, LegEnd, int]] = deque()
         self.wake_at: int | None = None
--- a/gingergap/emulator/proxies.py
+++ b/gingergap/emulator/proxies.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from ..edge.circuits import Circuits
+from ..edge.circuits import CircuitCounts
 from ..host import GwState, Learned, LegEnd, ListEntry, Rsn
 from .engine import SECOND, Engine
 from .rules import Rules
@@ -96,7 +96,7 @@
         self.gws: dict[str, int] = {}
         self.numbers: list[int] = []
         self.calls: dict[int, Call] = {}
-        self.circuits = Circuits()
+        self.circuits = CircuitCounts()
         self.dialogs = 0
         self.soon: list[tuple[Leg, LegEnd, int]] = []
         self.settling = False
--- a/tests/test_edge_parts.py
+++ b/tests/test_edge_parts.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from gingergap.edge import sip_mapping
-from gingergap.edge.circuits import BELIEVED, Circuits
+from gingergap.edge.circuits import BELIEVED, CircuitCounts
 from gingergap.edge.door import Door
 from gingergap.edge.numbering import Numbering
 from gingergap.edge.subscriptions import Ask, Body, Use, Watching
@@ -184,7 +184,7 @@
 
 
 def test_a_leg_that_the_exchange_has_not_seen_is_not_free():
-    circuits = Circuits()
+    circuits = CircuitCounts()
     assert circuits.count(1) == (-1, -1)
     circuits.leg_sent(1, 7, 2)
     assert circuits.update(1, 5, 10) == (3, 10)
@@ -193,7 +193,7 @@
 
 
 def test_a_turned_back_leg_is_believed_for_a_while():
-    circuits = Circuits()
+    circuits = CircuitCounts()
     circuits.update(1, 5, 10)
     circuits.group_refused(100, 1, 2)
     assert circuits.count(1) == (1, 10)
@@ -206,7 +206,7 @@
 @given(st.lists(st.tuples(st.sampled_from(["told", "sent", "over", "back"]), st.integers(0, 4), st.integers(0, 12)), max_size=40))
 @settings(derandomize=True, deadline=None)
 def test_a_count_is_never_under_nothing_nor_over_the_size(events):
-    circuits = Circuits()
+    circuits = CircuitCounts()
     for what, leg, number in events:
         if what == "told":
             circuits.update(1, number, 10)
