--- a/gingergap/sip/transactions.py
+++ b/gingergap/sip/transactions.py
@@ -52,7 +52,7 @@
 
 
 class User(Protocol):
-    def request_received(self, now: int, server: "Server", message: Message) -> None:
+    def request_received(self, now: int, server: "ServerTransaction", message: Message) -> None:
         """A new request, ACK excepted; answer with `respond`."""
 
     def ack_received(self, now: int, message: Message, hop: Hop) -> None:
@@ -61,16 +61,16 @@
     def transaction_limit_reached(self, now: int, message: Message, hop: Hop) -> None:
         """A new request while no more transactions may be opened."""
 
-    def response_received(self, now: int, client: "Client", message: Message) -> None:
+    def response_received(self, now: int, client: "ClientTransaction", message: Message) -> None:
         """Any response but 100 and retransmissions; a 2xx to INVITE each time that it comes."""
 
     def stray_response(self, now: int, message: Message) -> None:
         """A 2xx to INVITE of which no transaction is known any more."""
 
-    def client_failed(self, now: int, client: "Client", how: ClientFailure) -> None:
+    def client_failed(self, now: int, client: "ClientTransaction", how: ClientFailure) -> None:
         """A client transaction ended without a final response."""
 
-    def ack_timed_out(self, now: int, server: "Server") -> None:
+    def ack_timed_out(self, now: int, server: "ServerTransaction") -> None:
         """An INVITE server transaction whose final answer was never acknowledged (Timer H)."""
 
 
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -417,7 +417,7 @@
             return made[0]
 
         patch = pytest.MonkeyPatch()
-        patch.setattr(conftest, "proxy_of", with_memory)
+        patch.setattr(conftest, "build_proxy", with_memory)
         try:
             super().__init__()
         finally:
--- a/tests/test_spans.py
+++ b/tests/test_spans.py
@@ -195,7 +195,7 @@
     import conftest
 
     tape = Tape()
-    monkeypatch.setattr(conftest, "proxy_of", lambda *args: build_proxy(*args, tape))
+    monkeypatch.setattr(conftest, "build_proxy", lambda *args: build_proxy(*args, tape))
     return peers_of(), tape
 
 
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -34,7 +34,7 @@
     import conftest
 
     tape = Tape()
-    monkeypatch.setattr(conftest, "proxy_of", lambda *args: build_proxy(*args, tape))
+    monkeypatch.setattr(conftest, "build_proxy", lambda *args: build_proxy(*args, tape))
     peers = peers_of()
     for number in range(60):
         invite = peers.invite(f"00{1 + number % 3}{number:03d}", expires=2)
