--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -835,7 +835,7 @@
     def _recall(self, now: int, recalled: Recalled) -> None:
         """What the process before this one knew: the list's words, what was learned, the dialogs that stand."""
         entries = []
-        for id_, word in recalled.sip_mapping.items():
+        for id_, word in recalled.words.items():
             if word.state == GwState.GONE and id_ not in self.gws:
                 continue  # a machine that came and went: nobody asks for it
             gw = self._gw(id_, word.number)
