--- a/gingergap/sip/transactions.py
+++ b/gingergap/sip/transactions.py
@@ -152,7 +152,7 @@
 
 class Transactions:
     """`t1`, `t2` and `t4` in tenths of a millisecond; `most` bounds the server transactions kept open, and
-    beyond it new requests are handed to `door_shut` while retransmissions are still absorbed."""
+    beyond it new requests are handed to `transaction_limit_reached` while retransmissions are still absorbed."""
 
     def __init__(
         self, user: User, wire: Wire, sent_by: tuple[str, int], t1: int = T1, t2: int = T2, t4: int = T4, most: int = 200_000
