--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -14,10 +14,10 @@
 
 from ..brain import CallController
 from ..host import GwState, LegEnd, ListEntry, Rsn, TrafficType
-from ..sip.dialogs import next_hop, release_of
+from ..sip.dialogs import dialog_to_release, next_hop
 from ..sip.fields import parse_address, parse_host_port, parse_seconds, parse_uri, parse_via, tag_of, top_via
 from ..sip.message import BadMessageError, Message, response
-from ..sip.transactions import MAGIC_COOKIE, ClientFailure, ClientTransaction, Hop, ServerTransaction, Transactions, Wire
+from ..sip.transactions import MAGIC_COOKIE, ClientFailure, ClientTransaction, Hop, ServerTransaction, Transactions, Transport
 from ..store.audit import Audit
 from ..store.memory import Memory, Recalled, Word
 from ..store.records import KeptStanding
@@ -93,7 +93,7 @@
 
     def __init__(
         self,
-        wire: Wire,
+        wire: Transport,
         now: int,
         wall: float,
         fresh: Any,
@@ -132,7 +132,7 @@
         self.types, self.kinds, self.widths = types, kinds, widths
         self.numbering, self.door, self.default_expires = numbering, door, default_expires
         self.now, self.wall_at_start, self.started_at = now, wall, now
-        self.transactions = Transactions(self, wire, address, t1=t1, t2=8 * t1, t4=10 * t1, most=most_transactions)
+        self.transactions = Transactions(self, wire, address, t1=t1, t2=8 * t1, t4=10 * t1, max_servers=most_transactions)
         self.boot = fresh(6)
         self.serial = 0
         self.uri = f"sip:{address[0]}:{address[1]}"
@@ -221,7 +221,7 @@
     def due(self, now: int) -> None:
         """Time has passed: fire what is due."""
         self.now = now
-        self.transactions.due(now)
+        self.transactions.fire_timers(now)
         self._settle(now)
         while self.due_legs and self.due_legs[0][0] <= now:
             _, serial, dialog = heappop(self.due_legs)
@@ -601,7 +601,7 @@
         """End a leg that answered when nobody wanted it any more: ACK each 2xx, BYE once."""
         self._count("late answers released")
         try:
-            dialog = release_of(answer, self.address)
+            dialog = dialog_to_release(answer, self.address)
             ack = dialog.request("ACK")
             key = dialog.call_id, tag_of(dialog.remote)
             self._send_stateless(ack, self._branch())
--- a/gingergap/sip/dialogs.py
+++ b/gingergap/sip/dialogs.py
@@ -1,4 +1,4 @@
-"""Dialogs of RFC 3261 section 12: what a user agent keeps of one, and requests built within it."""
+"""Dialog state of a user agent, and requests within a dialog (RFC 3261 section 12)."""
 
 from .fields import parse_address, parse_uri, tag_of
 from .message import BadMessageError, Message
@@ -6,7 +6,11 @@
 
 
 class SipDialog:
-    """One end's view. `route` is the route set, nearest first; `target` the far end's contact."""
+    """The dialog state at one end.
+
+    `local` and `remote` are From and To values with tags, `target` is the remote contact URI, `route` the route set
+    with the nearest hop first.
+    """
 
     __slots__ = ("call_id", "local", "remote", "target", "route", "cseq", "remote_cseq", "invite_cseq")
 
@@ -17,7 +21,10 @@
 
     @classmethod
     def from_response(cls, answer: Message) -> "SipDialog":
-        """From a response that makes a dialog (section 12.1.2): Record-Route in reverse is the route set."""
+        """The caller's dialog state from a response that establishes a dialog (section 12.1.2).
+
+        The route set is Record-Route in reverse. Raises BadMessageError if Contact is missing.
+        """
         number, _ = answer.cseq()
         contact = answer.all("Contact")
         if not contact:
@@ -34,7 +41,10 @@
 
     @classmethod
     def from_request(cls, invite: Message, tag: str) -> "SipDialog":
-        """From a request taken (section 12.1.1): Record-Route in order is the route set."""
+        """The callee's dialog state from an accepted request (section 12.1.1), with `tag` as its own tag.
+
+        The route set is Record-Route in order. Raises BadMessageError if Contact is missing.
+        """
         contact = invite.all("Contact")
         if not contact:
             raise BadMessageError("INVITE lacks Contact", 400, invite)
@@ -51,7 +61,7 @@
         )
 
     def request(self, method: str) -> Message:
-        """A request within the dialog (section 12.2.1.1). An ACK repeats the INVITE's number."""
+        """Build a request within the dialog (section 12.2.1.1). An ACK has the CSeq number of its INVITE."""
         if method == "ACK":
             number = self.invite_cseq
         else:
@@ -68,8 +78,8 @@
         ]
         return message
 
-    def taken(self, message: Message) -> bool:
-        """Whether a request from the far end comes in order (section 12.2.2)."""
+    def accept_request(self, message: Message) -> bool:
+        """Record the CSeq number of a request from the remote end; False if it is out of order (section 12.2.2)."""
         number, _ = message.cseq()
         if self.remote_cseq and number < self.remote_cseq:
             return False
@@ -78,7 +88,7 @@
 
 
 def next_hop(message: Message) -> Hop:
-    """Where a request goes next (section 8.1.2): its first Route, else its Request-URI. Raises BadMessageError."""
+    """The next hop of a request (section 8.1.2): its first Route, else its Request-URI. Raises BadMessageError."""
     routes = message.all("Route")
     uri = parse_uri(parse_address(routes[0])[0] if routes else message.uri)
     transport = uri.params.get("transport", "udp").upper()
@@ -87,13 +97,16 @@
     return Hop(transport, uri.host, uri.port)
 
 
-def release_of(answer: Message, own: tuple[str, int]) -> SipDialog:
-    """The dialog of a 2xx that nobody wants, as seen by the proxy at `own` on its path: everything that ACK
-    and BYE need stands in the response, so a leg is released even when nothing else is known of it."""
+def dialog_to_release(answer: Message, own_address: tuple[str, int]) -> SipDialog:
+    """The dialog established by an unwanted 2xx, as seen by the proxy at `own_address` on its path.
+
+    The response holds everything that ACK and BYE need, so a leg can be released without any other state. Raises
+    BadMessageError.
+    """
     dialog = SipDialog.from_response(answer)
-    for place, entry in enumerate(dialog.route):
+    for index, entry in enumerate(dialog.route):
         uri = parse_uri(parse_address(entry)[0])
-        if (uri.host, uri.port) == own:
-            dialog.route = dialog.route[place + 1 :]
+        if (uri.host, uri.port) == own_address:
+            dialog.route = dialog.route[index + 1 :]
             break
     return dialog
--- a/gingergap/sip/framing.py
+++ b/gingergap/sip/framing.py
@@ -1,79 +1,83 @@
-"""Messages cut out of a stream by Content-Length (RFC 3261 section 18.3), in bounded memory."""
+"""Splits a byte stream into SIP messages by Content-Length (RFC 3261 section 18.3), in bounded memory."""
 
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from .message import MOST_HEAD, BadMessageError, Message, name_of, parse
+from .message import MAX_HEADER_BYTES, BadMessageError, Message, canonical_name, parse
 
-MOST_BODY = 65_536
+MAX_BODY_BYTES = 65_536
 
 
-def parse_in_stream(whole: bytes) -> Message:
-    return parse(whole, stream=True)
+def parse_from_stream(encoded: bytes) -> Message:
+    """Parse a message whose body has been cut to length. Raises BadMessageError."""
+    return parse(encoded, stream=True)
 
 
 class Framer:
-    """Feed bytes as they come; whole messages come out. A stream whose framing is lost can't be mended:
-    BadMessageError is raised and the connection is to be closed. `most_message` bounds head and body together;
-    `read` makes a message of its bytes."""
+    """Accepts the bytes of one stream as they arrive and returns complete messages.
+
+    BadMessageError raised by `feed` or while iterating means that framing is lost: the connection must be closed.
+    Limits are in bytes, `max_message` for header and body together; `parse_message` turns the bytes of one message
+    into an object.
+    """
 
     def __init__(
         self,
-        most_body: int = MOST_BODY,
-        most_message: int = MOST_HEAD + 4 + MOST_BODY,
-        read: Callable[[bytes], Any] = parse_in_stream,
+        max_body: int = MAX_BODY_BYTES,
+        max_message: int = MAX_HEADER_BYTES + 4 + MAX_BODY_BYTES,
+        parse_message: Callable[[bytes], Any] = parse_from_stream,
     ) -> None:
-        self.most_body, self.most_message, self.read = most_body, most_message, read
+        self.max_body, self.max_message, self.parse_message = max_body, max_message, parse_message
         self.buffer = bytearray()
-        self.searched = 0  # no empty line ends before here: a slow sender must not cost a search each byte
+        self.search_start = 0  # the end of the header is not before this offset; avoids searching the whole buffer for each byte
 
     def feed(self, data: bytes) -> list[Any]:
-        """Messages that are now whole. One that is framed but unusable comes as its error, in its place."""
+        """All messages that are now complete. A framed but unusable one is returned as its BadMessageError."""
         return list(self.iter_messages(data))
 
     def iter_messages(self, data: bytes) -> Iterator[Any]:
-        """The same one by one: what stands before bytes that are no message has come and counts."""
+        """Like `feed`, one by one, so that messages before a framing error are still delivered."""
         self.buffer += data
         while True:
-            if self.searched == 0:
-                blank = 0
-                while self.buffer[blank : blank + 2] == b"\r\n":  # keep-alives between messages (RFC 5626)
-                    blank += 2
-                if blank:
-                    del self.buffer[:blank]
-            cut = self.buffer.find(b"\r\n\r\n", self.searched)
-            if cut < 0:
-                if len(self.buffer) > MOST_HEAD:
+            if self.search_start == 0:
+                blank_bytes = 0
+                while self.buffer[blank_bytes : blank_bytes + 2] == b"\r\n":  # keep-alives between messages (RFC 5626)
+                    blank_bytes += 2
+                if blank_bytes:
+                    del self.buffer[:blank_bytes]
+            header_end = self.buffer.find(b"\r\n\r\n", self.search_start)
+            if header_end < 0:
+                if len(self.buffer) > MAX_HEADER_BYTES:
                     raise BadMessageError("header over the size limit", 513)
-                self.searched = max(0, len(self.buffer) - 3)
+                self.search_start = max(0, len(self.buffer) - 3)
                 return
-            self.searched = cut
-            if cut > MOST_HEAD:
+            self.search_start = header_end
+            if header_end > MAX_HEADER_BYTES:
                 raise BadMessageError("header over the size limit", 513)
-            end = cut + 4 + self._length(bytes(self.buffer[:cut]))
-            if end > self.most_message:
+            message_end = header_end + 4 + self._body_length(bytes(self.buffer[:header_end]))
+            if message_end > self.max_message:
                 raise BadMessageError("the message is over the size limit", 513)
-            if len(self.buffer) < end:
+            if len(self.buffer) < message_end:
                 return
-            whole = bytes(self.buffer[:end])
-            del self.buffer[:end]
-            self.searched = 0
+            encoded = bytes(self.buffer[:message_end])
+            del self.buffer[:message_end]
+            self.search_start = 0
             try:
-                yield self.read(whole)
+                yield self.parse_message(encoded)
             except BadMessageError as bad:
                 yield bad
 
-    def _length(self, head: bytes) -> int:
+    def _body_length(self, header: bytes) -> int:
         length = None
-        for line in head.split(b"\r\n")[1:]:
-            raw, colon, value = line.partition(b":")
-            if colon and name_of(raw.strip().decode("utf-8", "surrogateescape")) == "Content-Length":
-                text = value.strip()
-                if not text.isdigit() or length not in (None, int(text)):
+        for line in header.split(b"\r\n")[1:]:
+            raw_name, colon, value = line.partition(b":")
+            if colon and canonical_name(raw_name.strip().decode("utf-8", "surrogateescape")) == "Content-Length":
+                digits = value.strip()
+                if not digits.isdigit() or length not in (None, int(digits)):
                     raise BadMessageError("Content-Length is not a number, or stands twice", 400)
-                length = int(text)
+                length = int(digits)
         if length is None:
             raise BadMessageError("a message in a stream lacks Content-Length", 400)
-        if length > self.most_body:
+        if length > self.max_body:
             raise BadMessageError("the body is over the size limit", 513)
         return length
--- a/gingergap/sip/message.py
+++ b/gingergap/sip/message.py
@@ -1,16 +1,16 @@
-"""SIP messages: bytes in, header fields in order, bytes out (RFC 3261 section 7).
+"""Parsing and serialisation of SIP messages, with their header fields in order (RFC 3261 section 7).
 
-Parsing is lazy: a message is cut into lines and names once, and a field's own grammar is looked at only when
-somebody asks for it (see fields.py). What makes a message unusable is told by BadMessageError, with the
-status that the RFC gives for it, or none where silence is the answer.
+Parsing is lazy: a message is split into field names and values once, and a field value is only parsed when it is
+needed (see fields.py). An unusable message raises BadMessageError, which carries the status that the RFC prescribes
+for the response, or 0 if no response must be sent.
 """
 
 from collections.abc import Iterable
 
-MOST_HEAD = 16_384  # bytes of start line and header fields
-MOST_FIELDS = 256
-VERSION = "SIP/2.0"
-KNOWN = (
+MAX_HEADER_BYTES = 16_384  # bytes of start line and header fields
+MAX_FIELDS = 256
+SIP_VERSION = "SIP/2.0"
+KNOWN_FIELDS = (
     "Accept",
     "Allow",
     "Allow-Events",
@@ -43,7 +43,7 @@
     "Proxy-Require",
     "User-Agent",
 )
-COMPACT = {  # RFC 3261 section 7.3.3 and the RFCs of events
+COMPACT_NAMES = {  # RFC 3261 section 7.3.3, RFC 6665 section 8.4 for Event and Allow-Events
     "i": "Call-ID",
     "m": "Contact",
     "e": "Content-Encoding",
@@ -57,13 +57,13 @@
     "o": "Event",
     "u": "Allow-Events",
 }
-NAMES = (
-    {name: name for name in KNOWN}
-    | {name.lower(): name for name in KNOWN}
-    | COMPACT
-    | {short.upper(): name for short, name in COMPACT.items()}
+CANONICAL_NAMES = (
+    {name: name for name in KNOWN_FIELDS}
+    | {name.lower(): name for name in KNOWN_FIELDS}
+    | COMPACT_NAMES
+    | {compact.upper(): name for compact, name in COMPACT_NAMES.items()}
 )
-LISTED = frozenset(
+LIST_FIELDS = frozenset(
     {
         "Via",
         "Route",
@@ -78,8 +78,8 @@
         "Accept",
     }
 )
-TOKEN = frozenset("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-.!%*_+`'~")
-PHRASES = {
+TOKEN_CHARACTERS = frozenset("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-.!%*_+`'~")
+REASON_PHRASES = {
     100: "Trying",
     180: "Ringing",
     183: "Session Progress",
@@ -109,20 +109,27 @@
 
 
 class BadMessageError(Exception):
-    """Bytes that are no usable SIP message. `status` is what a request is answered with; 0 means silence."""
+    """Bytes that are not a usable SIP message.
 
-    def __init__(self, why: str, status: int = 400, message: "Message | None" = None) -> None:
-        super().__init__(why)
+    `status` is the status of the response to a request; 0 means that no response is sent. `message` is the message as
+    far as it was parsed, if its start line could be read.
+    """
+
+    def __init__(self, reason: str, status: int = 400, message: "Message | None" = None) -> None:
+        super().__init__(reason)
         self.status, self.message = status, message
 
 
-def name_of(raw: str) -> str:
-    """A field name in the one spelling used inside: names match whatever their case (section 7.3.1)."""
-    return NAMES.get(raw) or NAMES.get(raw.lower()) or raw.title()
+def canonical_name(raw_name: str) -> str:
+    """The canonical spelling of a field name; names are case-insensitive and may be compact (section 7.3.1)."""
+    return CANONICAL_NAMES.get(raw_name) or CANONICAL_NAMES.get(raw_name.lower()) or raw_name.title()
 
 
 class Message:
-    """A request (`method` and `uri` set) or a response (`status` and `phrase` set)."""
+    """A request (`method` and `uri` set) or a response (`status` and `phrase` set).
+
+    `fields` holds (canonical name, value) pairs in order; field names passed to the methods are canonical too.
+    """
 
     __slots__ = ("method", "uri", "status", "phrase", "fields", "body")
 
@@ -139,61 +146,62 @@
         self.fields, self.body = list(fields), body
 
     def get(self, name: str, default: str = "") -> str:
-        """The first field of that name, whole."""
+        """The unparsed value of the first field with that name."""
         for field, value in self.fields:
             if field == name:
                 return value
         return default
 
     def all(self, name: str) -> list[str]:
-        """Every value of a field that may be given as a list, in order (section 7.3.1)."""
+        """All values of a field in order; comma-separated lists are split if the field allows them (section 7.3.1)."""
         values = []
         for field, value in self.fields:
             if field == name:
-                if "," in value and name in LISTED:
+                if "," in value and name in LIST_FIELDS:
                     values.extend(split_list(value))
                 else:
                     values.append(value)
         return values
 
     def has(self, name: str) -> bool:
-        for field, _ in self.fields:  # noqa: SIM110 - a generator costs twice as much, some ten times a call
+        for field, _ in self.fields:  # noqa: SIM110 - any() takes twice as long, and this runs some ten times per call
             if field == name:
                 return True
         return False
 
     def put(self, name: str, value: str) -> None:
-        """Set a field that stands once, in its old place or else at the end."""
-        for place, (field, _) in enumerate(self.fields):
+        """Replace the first field with that name, or append one."""
+        for index, (field, _) in enumerate(self.fields):
             if field == name:
-                self.fields[place] = (name, value)
+                self.fields[index] = (name, value)
                 return
         self.fields.append((name, value))
 
     def push(self, name: str, value: str) -> None:
-        """Put a value before all others of its name: Via, Record-Route, Route."""
+        """Insert a value before all others of its field (Via, Record-Route, Route)."""
         self.fields.insert(0, (name, value))
 
     def drop(self, name: str) -> None:
         self.fields = [entry for entry in self.fields if entry[0] != name]
 
     def pop_first(self, name: str) -> str:
-        """Take the topmost value of a list field off; an empty text where there is none."""
-        for place, (field, value) in enumerate(self.fields):
+        """Remove and return the topmost value of a list field; an empty string if there is none."""
+        for index, (field, value) in enumerate(self.fields):
             if field == name:
                 parts = split_list(value) if "," in value else [value]
                 if len(parts) > 1:
-                    self.fields[place] = (name, ", ".join(parts[1:]))
+                    self.fields[index] = (name, ", ".join(parts[1:]))
                 else:
-                    del self.fields[place]
+                    del self.fields[index]
                 return parts[0]
         return ""
 
     def replace_first(self, name: str, value: str) -> None:
-        for place, (field, old) in enumerate(self.fields):
+        """Replace the topmost value of a list field."""
+        for index, (field, current) in enumerate(self.fields):
             if field == name:
-                parts = split_list(old) if "," in old else [old]
-                self.fields[place] = (name, ", ".join([value, *parts[1:]]))
+                parts = split_list(current) if "," in current else [current]
+                self.fields[index] = (name, ", ".join([value, *parts[1:]]))
                 return
 
     def copy(self) -> "Message":
@@ -204,7 +212,7 @@
         return self.get("Call-ID")
 
     def cseq(self) -> tuple[int, str]:
-        """Number and method (section 20.16); raises BadMessageError."""
+        """Sequence number and method (section 20.16). Raises BadMessageError."""
         number, _, method = self.get("CSeq").strip().partition(" ")
         method = method.strip()
         if not number.isascii() or not number.isdigit() or int(number) >= 1 << 32 or not method:
@@ -212,18 +220,18 @@
         return int(number), method
 
     def __bytes__(self) -> bytes:
-        lines = [f"{self.method} {self.uri} {VERSION}" if self.method else f"{VERSION} {self.status} {self.phrase}"]
+        lines = [f"{self.method} {self.uri} {SIP_VERSION}" if self.method else f"{SIP_VERSION} {self.status} {self.phrase}"]
         lines += [f"{name}: {value}" for name, value in self.fields if name != "Content-Length"]
         lines.append(f"Content-Length: {len(self.body)}\r\n\r\n")
         return "\r\n".join(lines).encode("utf-8", "surrogateescape") + self.body
 
 
 def split_list(value: str) -> list[str]:
-    """Parts between commas that stand outside quotes and angle brackets."""
+    """Split at commas outside quotes and angle brackets; empty parts are dropped."""
     if '"' not in value and "<" not in value:
         return [part.strip() for part in value.split(",") if part.strip()]
     parts, start, quoted, angled, escaped = [], 0, False, False, False
-    for place, char in enumerate(value):
+    for index, char in enumerate(value):
         if escaped:
             escaped = False
         elif quoted:
@@ -238,42 +246,45 @@
         elif char == ">":
             angled = False
         elif char == "," and not angled:
-            parts.append(value[start:place].strip())
-            start = place + 1
+            parts.append(value[start:index].strip())
+            start = index + 1
     parts.append(value[start:].strip())
     return [part for part in parts if part]
 
 
 def parse(data: bytes, stream: bool = False) -> Message:
-    """One whole message. Over a datagram, bytes past Content-Length are dropped and too few are an error
-    (section 18.3); in a stream the framer has cut the body to length already."""
-    cut = data.find(b"\r\n\r\n")
-    if cut < 0:
+    """Parse one complete message.
+
+    In a datagram, bytes beyond Content-Length are dropped and a shorter body is an error (section 18.3); in a stream
+    the framer has already cut the body to that length. Raises BadMessageError.
+    """
+    header_end = data.find(b"\r\n\r\n")
+    if header_end < 0:
         raise BadMessageError("no empty line ends the header", 0)
-    if cut > MOST_HEAD:
+    if header_end > MAX_HEADER_BYTES:
         raise BadMessageError("header over the size limit", 513)
-    head, body = data[:cut], data[cut + 4 :]
+    head, body = data[:header_end], data[header_end + 4 :]
     if b"\0" in head:
         raise BadMessageError("NUL in the header", 0)
     text = head.lstrip(b"\r\n").decode("utf-8", "surrogateescape")
     lines = text.split("\r\n")
-    if "\r\n " in text or "\r\n\t" in text:  # folded lines: a run of white space (section 7.3.1)
+    if "\r\n " in text or "\r\n\t" in text:  # a folded line continues the one before (section 7.3.1)
         lines = _unfold(lines)
     message = _start_line(lines[0])
     fields = message.fields
-    known = NAMES
+    canonical = CANONICAL_NAMES
     for line in lines[1:]:
-        raw, colon, value = line.partition(":")
-        name = known.get(raw)
+        raw_name, colon, value = line.partition(":")
+        name = canonical.get(raw_name)
         if name is None:
-            raw = raw.rstrip(" \t")
-            if not colon or not raw or not TOKEN.issuperset(raw):
+            raw_name = raw_name.rstrip(" \t")
+            if not colon or not raw_name or not TOKEN_CHARACTERS.issuperset(raw_name):
                 raise BadMessageError(f"a line of the header is no field: {line[:40]!r}", 400, message)
-            name = name_of(raw)
+            name = canonical_name(raw_name)
         elif not colon:
             raise BadMessageError(f"a line of the header is no field: {line[:40]!r}", 400, message)
         fields.append((name, value.strip(" \t")))
-    if len(fields) > MOST_FIELDS:
+    if len(fields) > MAX_FIELDS:
         raise BadMessageError("too many header fields", 513, message)
     length = message.get("Content-Length", "-")
     if length != "-":
@@ -287,13 +298,13 @@
 
 
 def _unfold(lines: list[str]) -> list[str]:
-    whole: list[str] = []
+    unfolded: list[str] = []
     for line in lines:
-        if line[:1] in (" ", "\t") and len(whole) > 1:
-            whole[-1] += " " + line.strip(" \t")
+        if line[:1] in (" ", "\t") and len(unfolded) > 1:
+            unfolded[-1] += " " + line.strip(" \t")
         else:
-            whole.append(line)
-    return whole
+            unfolded.append(line)
+    return unfolded
 
 
 def _start_line(line: str) -> Message:
@@ -302,26 +313,29 @@
     if line.startswith("SIP/"):
         version, _, rest = line.partition(" ")
         code, _, phrase = rest.partition(" ")
-        if version != VERSION or len(code) != 3 or not code.isascii() or not code.isdigit() or code < "100" or code >= "700":
+        if version != SIP_VERSION or len(code) != 3 or not code.isascii() or not code.isdigit() or code < "100" or code >= "700":
             raise BadMessageError("bad status line", 0)
         return Message(status=int(code), phrase=phrase)
     parts = line.split(" ")
-    if len(parts) != 3 or not parts[0] or not TOKEN.issuperset(parts[0]):
-        raise BadMessageError("bad request line", 400 if line.endswith(VERSION) else 0)
+    if len(parts) != 3 or not parts[0] or not TOKEN_CHARACTERS.issuperset(parts[0]):
+        raise BadMessageError("bad request line", 400 if line.endswith(SIP_VERSION) else 0)
     method, uri, version = parts
     if not version.startswith("SIP/"):
         raise BadMessageError("bad request line", 0)
     message = Message(method=method, uri=uri)
-    if version != VERSION:
+    if version != SIP_VERSION:
         raise BadMessageError("SIP version not known", 505, message)
     return message
 
 
 def check_request(message: Message) -> None:
-    """What every request must carry, each once (section 8.1.1); raises BadMessageError with the status."""
+    """Check the mandatory fields of a request, which occur once each (section 8.1.1).
+
+    Raises BadMessageError with the status of the response.
+    """
     names = [name for name, _ in message.fields]
     if "Via" not in names:
-        raise BadMessageError("Via is missing", 0, message)  # nowhere to answer to
+        raise BadMessageError("Via is missing", 0, message)  # there is no address for a response
     for name in ("From", "To", "Call-ID", "CSeq"):
         if names.count(name) != 1:
             raise BadMessageError(f"{name} is missing" if name not in names else f"{name} stands twice", 400, message)
@@ -339,15 +353,18 @@
 
 
 def response(request: Message, status: int, tag: str = "", fields: Iterable[tuple[str, str]] = (), body: bytes = b"") -> Message:
-    """A response to a request (section 8.2.6): Via, From, To, Call-ID and CSeq as they came."""
-    answer = Message(status=status, phrase=PHRASES.get(status, "Unknown"), body=body)
-    kept = answer.fields
+    """Build a response to a request (section 8.2.6), with its Via, From, To, Call-ID and CSeq.
+
+    `tag` is added to To unless it has one; Record-Route is copied into responses that establish a dialog.
+    """
+    answer = Message(status=status, phrase=REASON_PHRASES.get(status, "Unknown"), body=body)
+    response_fields = answer.fields
     for name, value in request.fields:
         if name in ("Via", "From", "Call-ID", "CSeq"):
-            kept.append((name, value))
+            response_fields.append((name, value))
         elif name == "To":
-            kept.append((name, f"{value};tag={tag}" if tag and ";tag=" not in value else value))
+            response_fields.append((name, f"{value};tag={tag}" if tag and ";tag=" not in value else value))
         elif name == "Record-Route" and 180 <= status < 300:
-            kept.append((name, value))
-    kept.extend(fields)
+            response_fields.append((name, value))
+    response_fields.extend(fields)
     return answer
--- a/gingergap/standins/element.py
+++ b/gingergap/standins/element.py
@@ -31,7 +31,7 @@
     def tick(self) -> None:
         while True:
             gevent.sleep(0.01)
-            self.transactions.due(units())
+            self.transactions.fire_timers(units())
 
     def got(self, message: Message, hop: Hop) -> None:
         try:
--- a/gingergap/standins/exchange.py
+++ b/gingergap/standins/exchange.py
@@ -141,7 +141,7 @@
         while True:
             gevent.sleep(0.01)
             if not self._silent():
-                self.transactions.due(units())
+                self.transactions.fire_timers(units())
             rounds += 1
             self._drop_connections()
             if rounds % 4 == 0:
--- a/gingergap/transport/sockets.py
+++ b/gingergap/transport/sockets.py
@@ -146,7 +146,7 @@
     # --- out ---
 
     def transmit(self, data: bytes, hop: Hop) -> None:
-        """Send; the Wire of transactions.py. Never switches greenlets."""
+        """Send; the Transport of sip/transactions.py. Never switches greenlets."""
         if self.gate is None:
             self._transmit(data, hop)
         else:
--- a/tests/test_sip_transactions.py
+++ b/tests/test_sip_transactions.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from gingergap.sip.dialogs import SipDialog, next_hop, release_of
+from gingergap.sip.dialogs import SipDialog, dialog_to_release, next_hop
 from gingergap.sip.message import BadMessageError, Message, parse, response
 from gingergap.sip.transactions import T1, ClientFailure, Hop, Transactions, TransactionState
 
@@ -18,9 +18,9 @@
 class Noted:
     """Wire and user in one: what is sent and told is kept."""
 
-    def __init__(self, most=1000):
+    def __init__(self, max_servers=1000):
         self.sent, self.told = [], []
-        self.transactions = Transactions(self, self, ("127.0.0.1", 5000), most=most)
+        self.transactions = Transactions(self, self, ("127.0.0.1", 5000), max_servers=max_servers)
 
     def transmit(self, data, hop):
         self.sent.append(parse(data))
@@ -48,7 +48,7 @@
 
     def run(self, start, until, step=100):
         for now in range(start, until + 1, step):
-            self.transactions.due(now)
+            self.transactions.fire_timers(now)
 
 
 def request(method="INVITE", branch="z9hG4bKx", to="<sip:b@h>"):
@@ -91,13 +91,13 @@
     client_of(noted, method)
     at, count = [], 1
     for now in range(0, 330_000, 100):
-        noted.transactions.due(now)
+        noted.transactions.fire_timers(now)
         if len(noted.sent) > count:
             count = len(noted.sent)
             at.append(now)
     assert at == gaps
     assert [entry[0] for entry in noted.told] == [ClientFailure.TIMEOUT]
-    assert not noted.transactions.clients and noted.transactions.next_due() is None
+    assert not noted.transactions.clients and noted.transactions.next_timer() is None
 
 
 @pytest.mark.parametrize("method", ["INVITE", "OPTIONS"])
@@ -207,7 +207,7 @@
 
 
 def test_over_the_bound_requests_are_shut_out_but_acks_pass():
-    noted = Noted(most=2)
+    noted = Noted(max_servers=2)
     for number in range(4):
         noted.transactions.received(0, incoming(branch=f"z9hG4bK{number}"), PEER)
     assert [entry[0] for entry in noted.told] == ["request", "request", "shut", "shut"]
@@ -256,9 +256,9 @@
         self.far, self.near = Noted(), Noted()
         self.near.transactions.sent_by, self.far.transactions.sent_by = ("127.0.0.1", 6000), ("127.0.0.1", 7000)
         self.near.transmit = lambda data, hop: self.up.append(data)
-        self.near.transactions.wire = self.near
+        self.near.transactions.transport = self.near
         self.far.transmit = lambda data, hop: self.down.append(data)
-        self.far.transactions.wire = self.far
+        self.far.transactions.transport = self.far
         self.hop = Hop("TCP" if stream else "UDP", "127.0.0.1", 7000)
         self.client = self.near.transactions.request(0, request(), self.hop, "z9hG4bKone")
         self.finals_sent = []
@@ -297,8 +297,8 @@
     def pass_time(self, span):
         for _ in range(10):
             self.now += span // 10
-            self.near.transactions.due(self.now)
-            self.far.transactions.due(self.now)
+            self.near.transactions.fire_timers(self.now)
+            self.far.transactions.fire_timers(self.now)
 
     @invariant()
     def one_kind_of_final(self):
@@ -326,7 +326,7 @@
         assert not self.near.transactions.clients
         for server in self.far.transactions.servers.values():
             assert server.state in (TransactionState.TRYING, TransactionState.PROCEEDING)  # it waits for its user, nobody else
-        assert self.near.transactions.next_due() is None and self.far.transactions.next_due() is None
+        assert self.near.transactions.next_timer() is None and self.far.transactions.next_due() is None
 
 
 TestAnyOrder = AnyOrder.TestCase
@@ -351,7 +351,7 @@
     assert ack.cseq() == (7, "ACK") and bye.cseq() == (8, "BYE")
     assert bye.all("Route") == ["<sip:p1:3;lr>", "<sip:x:2;lr>", "<sip:p2:1;lr>"]
     assert bye.uri == "sip:b@127.0.0.1:9;transport=tcp" and next_hop(bye) == Hop("UDP", "p1", 3)
-    middle = release_of(answer, ("x", 2))
+    middle = dialog_to_release(answer, ("x", 2))
     assert middle.request("BYE").all("Route") == ["<sip:p2:1;lr>"]
     dialog.route = []
     assert next_hop(dialog.request("BYE")) == Hop("TCP", "127.0.0.1", 9)
@@ -366,4 +366,6 @@
     invite = request()
     invite.fields.append(("Contact", "<sip:a@h>"))
     dialog = SipDialog.from_request(invite, "t")
-    assert dialog.taken(Message(fields=[("CSeq", "5 BYE")])) and not dialog.taken(Message(fields=[("CSeq", "4 BYE")]))
+    assert dialog.accept_request(Message(fields=[("CSeq", "5 BYE")])) and not dialog.accept_request(
+        Message(fields=[("CSeq", "4 BYE")])
+    )
