--- a/gingergap/control/__init__.py
+++ b/gingergap/control/__init__.py
@@ -1,1 +1,1 @@
-"""The control socket of a running proxy: questions and answers as JSON lines over a local socket."""
+"""The control socket of a running proxy: one JSON object a line over a local Unix socket."""
--- a/gingergap/control/client.py
+++ b/gingergap/control/client.py
@@ -1,4 +1,4 @@
-"""The operator's end of the control socket."""
+"""Client of a proxy's control socket, used by the operator's commands."""
 
 import socket
 from typing import Any
@@ -7,23 +7,26 @@
 
 
 class NoAnswerError(Exception):
-    """One plain line on why there is no answer."""
+    """The proxy gave no answer; the message is one line that says why."""
 
 
-def ask(path: str, what: str, timeout: float = 5.0) -> Any:
-    """One question, one answer. Raises NoAnswerError."""
+def ask(path: str, question: str, timeout: float = 5.0) -> Any:
+    """Send one question to the control socket at `path` and return the decoded answer; `timeout` in seconds.
+
+    Raises NoAnswerError.
+    """
     with socket.socket(socket.AF_UNIX) as sock:
         sock.settimeout(timeout)
         try:
             sock.connect(path)
-            sock.sendall(msgspec.json.encode({"ask": what}) + b"\n")
-            held = b""
-            while not held.endswith(b"\n"):
+            sock.sendall(msgspec.json.encode({"ask": question}) + b"\n")
+            received = b""
+            while not received.endswith(b"\n"):
                 data = sock.recv(65_536)
                 if not data:
                     raise NoAnswerError(f"{path}: the proxy closed the connection")
-                held += data
-            reply = msgspec.json.decode(held)
+                received += data
+            reply = msgspec.json.decode(received)
         except OSError as error:
             raise NoAnswerError(f"{path}: {error.strerror or 'no answer in time'}") from None
         except msgspec.MsgspecError:
--- a/gingergap/control/server.py
+++ b/gingergap/control/server.py
@@ -1,7 +1,10 @@
-"""The proxy's end of its control socket: a Unix stream, one JSON object a line, `{"ask": "members"}` and its answer."""
+"""Server of the control socket: a Unix stream socket with one JSON object a line.
+
+A question is `{"ask": "members"}`; the reply is `{"answer": ...}` or `{"error": "..."}`.
+"""
 
 import os
-import socket as plain
+import socket as blocking_socket
 from pathlib import Path
 from typing import Any, Protocol
 
@@ -9,28 +12,33 @@
 import msgspec
 from gevent import socket
 
-MOST_LINE = 4096
-MOST_AT_ONCE = 16
+MAX_LINE_BYTES = 4096
+MAX_CONNECTIONS = 16
+
 
+class QuestionHandler(Protocol):
+    """Answers the questions that the control socket receives."""
 
-class Asked(Protocol):
-    def asked(self, what: str) -> Any:
-        """An answer that JSON can hold; raises KeyError where there is none."""
+    def answer_question(self, question: str) -> Any:
+        """The answer, which must be serialisable as JSON. Raises KeyError with a message if there is none."""
 
 
-class Control:
-    """Only the user that runs the proxy may connect: the socket's mode is 0600."""
+class ControlServer:
+    """Listens on a Unix socket of mode 0600: only the user that runs the proxy may connect."""
 
-    def __init__(self, path: str, owner: Asked) -> None:
-        self.path, self.owner = Path(path), owner
+    def __init__(self, path: str, handler: QuestionHandler) -> None:
+        self.path, self.handler = Path(path), handler
         self.listener: socket.socket | None = None
         self.greenlet: gevent.Greenlet | None = None
-        self.open_now = 0
+        self.open_connections = 0
 
     def open(self) -> None:
-        """Raises OSError where another process serves there; a socket that a dead one left is taken over."""
+        """Start listening. A socket file left by a dead process is replaced.
+
+        Raises OSError if another process listens on the path.
+        """
         if self.path.exists():
-            with plain.socket(plain.AF_UNIX) as probe:
+            with blocking_socket.socket(blocking_socket.AF_UNIX) as probe:
                 try:
                     probe.connect(str(self.path))
                 except OSError:
@@ -38,11 +46,11 @@
                 else:
                     raise OSError(f"{self.path}: another process serves there")
         self.listener = socket.socket(socket.AF_UNIX)
-        mask = os.umask(0o177)
+        previous_umask = os.umask(0o177)
         try:
             self.listener.bind(str(self.path))
         finally:
-            os.umask(mask)
+            os.umask(previous_umask)
         self.listener.listen(8)
         self.greenlet = gevent.spawn(self._accept)
 
@@ -55,32 +63,32 @@
     def _accept(self) -> None:
         while True:
             sock, _ = self.listener.accept()
-            if self.open_now >= MOST_AT_ONCE:
+            if self.open_connections >= MAX_CONNECTIONS:
                 sock.close()
             else:
                 gevent.spawn(self._serve, sock)
 
     def _serve(self, sock: socket.socket) -> None:
-        self.open_now += 1
-        held = b""
+        self.open_connections += 1
+        received = b""
         try:
-            while data := sock.recv(MOST_LINE):
-                held += data
-                while b"\n" in held:
-                    line, held = held.split(b"\n", 1)
+            while data := sock.recv(MAX_LINE_BYTES):
+                received += data
+                while b"\n" in received:
+                    line, received = received.split(b"\n", 1)
                     sock.sendall(msgspec.json.encode(self._answer(line)) + b"\n")
-                if len(held) > MOST_LINE:
+                if len(received) > MAX_LINE_BYTES:
                     return
         except OSError:
             pass
         finally:
-            self.open_now -= 1
+            self.open_connections -= 1
             sock.close()
 
     def _answer(self, line: bytes) -> dict[str, Any]:
         try:
-            what = msgspec.json.decode(line)["ask"]
-            return {"answer": self.owner.asked(what)}
+            question = msgspec.json.decode(line)["ask"]
+            return {"answer": self.handler.answer_question(question)}
         except (msgspec.MsgspecError, TypeError):
             return {"error": "a line must be an object with a field ask"}
         except KeyError as error:
--- a/gingergap/edge/serve.py
+++ b/gingergap/edge/serve.py
@@ -9,7 +9,7 @@
 import gevent
 from gevent.event import Event
 
-from ..control.server import Control
+from ..control.server import ControlServer
 from ..host import TrafficType
 from ..settings.edge import EdgeForm
 from ..sip.fields import parse_host_port
@@ -113,7 +113,7 @@
         self.drained_by: float | None = None
         self.work: LocalWork | None = None
         self.coordination: Coordination | None = None
-        self.control: Control | None = None
+        self.control: ControlServer | None = None
         self.tape = Tape()
         self.recorder: Recorder | None = None
         self.spans: Any = None
@@ -238,7 +238,7 @@
 
     def _open_control(self) -> None:
         if self.form.control is not None:
-            self.control = Control(self.form.control, self)
+            self.control = ControlServer(self.form.control, self)
             self.control.open()
 
     def _open_trace(self) -> None:
@@ -327,7 +327,7 @@
 
     # --- what the control socket asks ---
 
-    def asked(self, what: str) -> Any:
+    def answer_question(self, what: str) -> Any:
         """Tables for operators; raises KeyError for what there is not."""
         joined = self.coordination
         match what:
--- a/gingergap/sip/transactions.py
+++ b/gingergap/sip/transactions.py
@@ -69,7 +69,7 @@
         """A new request while the limit of open server transactions is reached; no transaction was opened."""
 
     def response_received(self, now: int, client: "ClientTransaction", message: Message) -> None:
-        """A response to INVITE: each provisional one, each copy of a 2xx, the first failure; else the first final one."""
+        """A response to INVITE: each provisional one (100 too), each copy of a 2xx, the first failure; else the first final."""
 
     def stray_response(self, now: int, message: Message) -> None:
         """A 2xx to INVITE without a matching transaction."""
--- a/tests/test_sip_transactions.py
+++ b/tests/test_sip_transactions.py
@@ -326,7 +326,7 @@
         assert not self.near.transactions.clients
         for server in self.far.transactions.servers.values():
             assert server.state in (TransactionState.TRYING, TransactionState.PROCEEDING)  # it waits for its user, nobody else
-        assert self.near.transactions.next_timer() is None and self.far.transactions.next_due() is None
+        assert self.near.transactions.next_timer() is None and self.far.transactions.next_timer() is None
 
 
 TestAnyOrder = AnyOrder.TestCase
