--- a/gingergap/edge/circuits.py
+++ b/gingergap/edge/circuits.py
@@ -1,73 +1,77 @@
-"""What a proxy knows of its own trunk groups: the exchange's last word, less own legs that it can't have seen.
+"""Free circuits of a proxy's own trunk groups: the exchange's last count minus legs that it can't have counted yet.
 
-Counts come late by the way of a message. A leg sent since the exchange looked is not in its count yet, and
-taken at its word a burst would send several dialogs for the last circuit. Decisions on circuits stay in brain.py;
-here is only what the count is.
+A count is older than its message. Legs sent since the exchange counted are not in it, and without subtracting them a
+burst would send several dialogs for the last circuit. Decisions on circuits are left to the decision module.
 """
 
-BELIEVED = 10_000  # tenths of a millisecond for which a turn-back counts for more than an older count
+DOUBT_DURATION = 10_000  # tenths of a millisecond; a refusal for lack of circuits overrides an older count for so long
 
 
-class Group:
-    """One trunk group. `sent` are legs of which nothing was heard: dialog leg to width. `doubted` bounds the free
-    count until `doubted_until`."""
+class GroupCount:
+    """The count of one trunk group, in circuits.
 
-    __slots__ = ("free", "size", "sent", "doubted", "doubted_until")
+    `unseen_legs` maps legs without any response to their circuits. `doubted_free` is an upper bound of the free count
+    until `doubted_until`; -1 there means no doubt. `size` is -1 before the first count.
+    """
+
+    __slots__ = ("free", "size", "unseen_legs", "doubted_free", "doubted_until")
 
     def __init__(self) -> None:
         self.free, self.size = 0, -1
-        self.sent: dict[int, int] = {}
-        self.doubted, self.doubted_until = 0, -1
+        self.unseen_legs: dict[int, int] = {}
+        self.doubted_free, self.doubted_until = 0, -1
 
-    def now_free(self) -> int:
-        """Free circuits as far as known, in circuits; none under 0."""
-        free = self.free if self.doubted_until < 0 else min(self.free, self.doubted)
-        return max(0, free - sum(self.sent.values()))
+    def free_circuits(self) -> int:
+        """Free circuits as far as known, at least 0."""
+        free = self.free if self.doubted_until < 0 else min(self.free, self.doubted_free)
+        return max(0, free - sum(self.unseen_legs.values()))
 
 
 class CircuitCounts:
-    """The groups of one proxy by the far exchange's number. Times in tenths of a millisecond."""
+    """The trunk groups of one proxy by the number of the exchange at their other end. Times in tenths of a millisecond."""
 
     def __init__(self) -> None:
-        self.groups: dict[int, Group] = {}
+        self.groups: dict[int, GroupCount] = {}
 
-    def _group(self, number: int) -> Group:
+    def _group(self, number: int) -> GroupCount:
         if number not in self.groups:
-            self.groups[number] = Group()
+            self.groups[number] = GroupCount()
         return self.groups[number]
 
     def update(self, number: int, free: int, size: int) -> tuple[int, int]:
-        """The exchange's count; returns free and size as the module should have them."""
+        """Record the exchange's count and return free circuits and size for the decision module."""
         group = self._group(number)
         group.free, group.size = max(0, min(free, size)), size
         group.doubted_until = -1
-        return group.now_free(), size
+        return group.free_circuits(), size
 
     def leg_sent(self, number: int, leg: int, width: int) -> None:
-        self._group(number).sent[leg] = width
+        self._group(number).unseen_legs[leg] = width
 
     def leg_reported(self, number: int, leg: int) -> None:
-        """The leg is over, or the far end has it: from now on it is in the exchange's count, or in none."""
-        self._group(number).sent.pop(leg, None)
+        """The leg has ended or has a response: from now on the exchange's count includes it if it holds circuits."""
+        self._group(number).unseen_legs.pop(leg, None)
 
     def group_refused(self, now: int, number: int, width: int) -> None:
-        """The far end found no circuit for a leg that wide: with the older count a dialog went to the same full
-        group again and again, up to its last leg. Counts are told when they change, so one that was taken and
-        freed between two looks is never told: the doubt ends by itself."""
+        """The exchange refused a leg of `width` circuits for lack of circuits.
+
+        With the older count a dialog tried the same full group again until its last leg. Counts are only sent when
+        they change, so a circuit taken and freed between two counts is never reported: the doubt expires by itself.
+        """
         group = self._group(number)
-        group.doubted, group.doubted_until = width - 1, now + BELIEVED
+        group.doubted_free, group.doubted_until = width - 1, now + DOUBT_DURATION
 
-    def no_longer_doubted(self, now: int) -> list[tuple[int, int, int]]:
-        """Number, free and size of groups whose last count is believed again."""
-        again = []
+    def expire_doubts(self, now: int) -> list[tuple[int, int, int]]:
+        """End the doubts that are over; returns number, free circuits and size of their groups."""
+        restored = []
         for number, group in self.groups.items():
             if 0 <= group.doubted_until <= now:
                 group.doubted_until = -1
                 if group.size >= 0:
-                    again.append((number, group.now_free(), group.size))
-        return again
+                    restored.append((number, group.free_circuits(), group.size))
+        return restored
 
     def count(self, number: int) -> tuple[int, int]:
-        """Free and size; -1 for both where nothing was told."""
+        """Free circuits and size; both -1 before the first count."""
         group = self.groups.get(number)
-        return (-1, -1) if group is None or group.size < 0 else (group.now_free(), group.size)
+        return (-1, -1) if group is None or group.size < 0 else (group.free_circuits(), group.size)
--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -23,10 +23,10 @@
 from ..store.records import KeptStanding
 from ..trace.tape import Tape, answer_to, crossing, recorded
 from . import sip_mapping
+from .admission import AdmissionControl
 from .calls import Asked, Call, Leg, NoServer, Onward
 from .circuits import CircuitCounts
-from .door import Door
-from .numbering import Numbering
+from .numbering import NumberingPlan
 from .subscriptions import Ask, Body, Use, Watching
 
 SECOND = 10_000
@@ -108,8 +108,8 @@
         types: list[TrafficType],
         kinds: dict[str, int],
         widths: list[int],
-        numbering: Numbering,
-        door: Door,
+        numbering: NumberingPlan,
+        admission: AdmissionControl,
         default_expires: int,
         most_transactions: int,
         t1: int,
@@ -130,7 +130,7 @@
         self.tape, self.memory = tape, memory
         self.audit = Audit()
         self.types, self.kinds, self.widths = types, kinds, widths
-        self.numbering, self.door, self.default_expires = numbering, door, default_expires
+        self.numbering, self.admission, self.default_expires = numbering, admission, default_expires
         self.now, self.wall_at_start, self.started_at = now, wall, now
         self.transactions = Transactions(self, wire, address, t1=t1, t2=8 * t1, t4=10 * t1, max_servers=most_transactions)
         self.boot = fresh(6)
@@ -237,7 +237,7 @@
             self.sweep_at = now + SWEEP
             while self.released and next(iter(self.released.values())) <= now:
                 del self.released[next(iter(self.released))]
-            for number, free, size in self.circuits.no_longer_doubted(now):
+            for number, free, size in self.circuits.expire_doubts(now):
                 self._group_told(now, number, free, size)
         for sub in self.subscribers.values():
             if sub.again_at is not None and now >= sub.again_at:
@@ -264,7 +264,7 @@
         elif tag_of(message.get("To")):
             self._within_dialog(now, server, message)
         elif method == "OPTIONS":
-            if self.door.draining:
+            if self.admission.draining:
                 self._answer(now, server, 503, [("Retry-After", "5")])
             else:
                 self._answer(
@@ -372,15 +372,15 @@
         if message.has("Proxy-Require"):
             self._answer(now, server, 420, [("Unsupported", ", ".join(message.all("Proxy-Require")))])
             return
-        far = self.numbering.exchange(number)
+        far = self.numbering.exchange_of(number)
         if far < 0:
             self._answer(now, server, 404, [sip_mapping.q850_reason(1)])
             return
         kind = sip_mapping.kind_of(message, self.kinds)
-        away = self.door.shut(kind, self.open_dialogs)
+        away = self.admission.retry_after(kind, self.open_dialogs)
         if away:
             self._count("turned away at the door")
-            self._note("turned_away", kind, int(self.door.lag), self.open_dialogs)
+            self._note("turned_away", kind, int(self.admission.lag), self.open_dialogs)
             self._answer(now, server, 503, [("Retry-After", str(away)), sip_mapping.q850_reason(sip_mapping.CONGESTION)])
             return
         call = Call(self.call_count, server, message, kind, self.widths[kind], far, key, told.transit, told.redialled, now, number)
@@ -950,7 +950,7 @@
 
     def ran_late(self, now: int, by: int) -> None:
         """A timer of the process fired so much after it was due."""
-        self.door.ran(by)
+        self.admission.timer_fired(by)
         if by >= NOTED_LATE:
             self.now = now
             self._note("ran_late", by)
--- a/gingergap/edge/serve.py
+++ b/gingergap/edge/serve.py
@@ -21,9 +21,9 @@
 from ..trace.recorder import Recorder, keep_budget
 from ..trace.tape import Tape, module_digest
 from ..transport.sockets import Sockets
+from .admission import AdmissionControl
 from .coordination import Coordination, LocalWork
-from .door import Door
-from .numbering import Numbering
+from .numbering import NumberingPlan
 from .proxy import EdgeProxy
 from .remembering import Remembering
 
@@ -81,8 +81,8 @@
         types=types,
         kinds=kinds,
         widths=[entry.circuits for entry in form.traffic_type],
-        numbering=Numbering({prefix: entry.number for entry in form.exchange for prefix in entry.prefix}),
-        door=Door(form.bounds.dialogs, LATE, [entry.importance for entry in form.traffic_type]),
+        numbering=NumberingPlan({prefix: entry.number for entry in form.exchange for prefix in entry.prefix}),
+        admission=AdmissionControl(form.bounds.dialogs, LATE, [entry.importance for entry in form.traffic_type]),
         default_expires=form.default_expires_s,
         most_transactions=form.bounds.transactions,
         t1=units(form.t1_ms),
@@ -301,7 +301,7 @@
             if self.coordination is not None:
                 self.coordination.leave()
             self.drained_by = time.monotonic() + self.form.drain_limit_s
-            self.proxy.door.draining = True
+            self.proxy.admission.draining = True
             self.log.info("draining", dialogs=len(self.proxy.calls), limit_s=self.form.drain_limit_s)
 
     def _tick(self) -> None:
--- a/tests/test_edge_parts.py
+++ b/tests/test_edge_parts.py
@@ -5,9 +5,9 @@
 from hypothesis import strategies as st
 
 from gingergap.edge import sip_mapping
-from gingergap.edge.circuits import BELIEVED, CircuitCounts
-from gingergap.edge.door import Door
-from gingergap.edge.numbering import Numbering
+from gingergap.edge.admission import AdmissionControl
+from gingergap.edge.circuits import DOUBT_DURATION, CircuitCounts
+from gingergap.edge.numbering import NumberingPlan
 from gingergap.edge.subscriptions import Ask, Body, Use, Watching
 from gingergap.host import LegEnd, Rsn
 from gingergap.sip.message import BadMessageError, Message
@@ -197,8 +197,8 @@
     circuits.update(1, 5, 10)
     circuits.group_refused(100, 1, 2)
     assert circuits.count(1) == (1, 10)
-    assert circuits.no_longer_doubted(100 + BELIEVED - 1) == []
-    assert circuits.no_longer_doubted(100 + BELIEVED) == [(1, 5, 10)]
+    assert circuits.expire_doubts(100 + DOUBT_DURATION - 1) == []
+    assert circuits.expire_doubts(100 + DOUBT_DURATION) == [(1, 5, 10)]
     circuits.group_refused(0, 1, 1)
     assert circuits.update(1, 4, 10) == (4, 10)
 
@@ -221,26 +221,26 @@
 
 
 def test_a_full_house_keeps_its_last_room_for_what_is_worth_most():
-    door = Door(100, 500, [1.0, 3.0])
-    assert (door.shut(0, 89), door.shut(0, 90)) == (0, 1)
-    assert (door.shut(1, 99), door.shut(1, 100)) == (0, 1)
+    admission = AdmissionControl(100, 500, [1.0, 3.0])
+    assert (admission.retry_after(0, 89), admission.retry_after(0, 90)) == (0, 1)
+    assert (admission.retry_after(1, 99), admission.retry_after(1, 100)) == (0, 1)
 
 
 def test_a_process_that_falls_behind_sends_away_cheap_traffic_first_and_recovers():
-    door = Door(100, 500, [1.0, 3.0])
-    door.ran(1_000)
-    assert door.shut(0, 0) and not door.shut(1, 0)
-    door.ran(5_000)
-    assert door.shut(0, 0) == 2 and door.shut(1, 0)
+    admission = AdmissionControl(100, 500, [1.0, 3.0])
+    admission.timer_fired(1_000)
+    assert admission.retry_after(0, 0) and not admission.retry_after(1, 0)
+    admission.timer_fired(5_000)
+    assert admission.retry_after(0, 0) == 2 and admission.retry_after(1, 0)
     for _ in range(20):
-        door.ran(0)
-    assert not door.shut(0, 0) and not door.shut(1, 0)
+        admission.timer_fired(0)
+    assert not admission.retry_after(0, 0) and not admission.retry_after(1, 0)
 
 
 def test_a_draining_door_is_shut_to_all():
-    door = Door(100, 500, [1.0])
-    door.draining = True
-    assert door.shut(0, 0) > 0
+    admission = AdmissionControl(100, 500, [1.0])
+    admission.draining = True
+    assert admission.retry_after(0, 0) > 0
 
 
 @pytest.mark.parametrize(
@@ -248,7 +248,7 @@
     [("0115550100", 1), ("0125550100", 2), ("+0115550100", 1), ("0", -1), ("", -1), ("0119", 3), ("01-15", 1)],
 )
 def test_the_longest_prefix_leads(number, exchange):
-    assert Numbering({"011": 1, "012": 2, "0119": 3}).exchange(number) == exchange
+    assert NumberingPlan({"011": 1, "012": 2, "0119": 3}).exchange_of(number) == exchange
 
 
 @pytest.mark.parametrize(
--- a/tests/test_edge_proxy.py
+++ b/tests/test_edge_proxy.py
@@ -346,7 +346,7 @@
 
 def test_a_draining_proxy_takes_nothing_new_and_lets_the_rest_finish(peers):
     invite, _ = peers.standing()
-    peers.proxy.door.draining = True
+    peers.proxy.admission.draining = True
     late = peers.invite()
     assert peers.finals(late.call_id) == [503]
     peers.within("BYE", invite.call_id)
@@ -406,4 +406,4 @@
     assert not [key for key in proxy.transactions.servers if key[2] == "INVITE"]
     assert not [key for key in proxy.transactions.clients if key[1] in ("INVITE", "CANCEL", "BYE")]
     assert proxy.open_dialogs == 0
-    assert not any(group.sent for group in proxy.circuits.groups.values())
+    assert not any(group.unseen_legs for group in proxy.circuits.groups.values())
