--- a/gingergap/edge/calls.py
+++ b/gingergap/edge/calls.py
@@ -1,4 +1,4 @@
-"""What the proxy keeps of a dialog and of its legs between messages."""
+"""The state that the proxy keeps of dialogs, legs and other pending requests between messages."""
 
 from collections.abc import Callable
 
@@ -8,42 +8,65 @@
 
 
 class Leg:
-    """One way tried: an INVITE sent on. `given_up` once its end has been told though it may still answer."""
+    """One attempt to set a dialog up: an INVITE sent to an exchange, the destination or a tandem.
 
-    __slots__ = ("call", "gw", "far", "place", "serial", "client", "started", "given_up", "over", "tag", "by_datagram", "crossing")
+    `exchange` is its number, `gw` the index of its machine, `index` counts the legs of the dialog, `serial` is unique in the
+    process. `given_up` means that the end was reported although an answer may still arrive; `sent_at` is in tenths of a
+    millisecond.
+    """
 
-    def __init__(self, call: "Call", gw: int, far: int, place: int, serial: int, started: int) -> None:
-        self.call, self.gw, self.far, self.place, self.serial = call, gw, far, place, serial
-        self.started = started
+    __slots__ = (
+        "call",
+        "gw",
+        "exchange",
+        "index",
+        "serial",
+        "client",
+        "sent_at",
+        "given_up",
+        "finished",
+        "tag",
+        "by_datagram",
+        "trace_id",
+    )
+
+    def __init__(self, call: "Call", gw: int, exchange: int, index: int, serial: int, sent_at: int) -> None:
+        self.call, self.gw, self.exchange, self.index, self.serial = call, gw, exchange, index, serial
+        self.sent_at = sent_at
         self.client: ClientTransaction | None = None
-        self.given_up = self.over = False
-        self.tag = ""  # the To tag of the 2xx that counts
-        self.crossing = b""  # by which the next proxy's trace names it
+        self.given_up = self.finished = False
+        self.tag = ""  # To tag of the first 2xx
+        self.trace_id = b""  # id of this leg in the trace of the next proxy
 
 
 class Call:
-    """One dialog from its INVITE to its BYE. The INVITE goes once the dialog stands: it is the larger part of
-    what a standing dialog would take in memory."""
+    """One dialog from its INVITE to its BYE.
+
+    `key` is Call-ID and the caller's tag, `width` the circuits of the dialog, `destination` the number of the exchange that
+    serves the dialled `number`, `arrived_at` in tenths of a millisecond. `leg_end` and `rsn` are those of the last leg.
+    `answered` means that the caller has its final response, `established` that it was a 2xx. `invite` is dropped then: it
+    would be the larger part of the memory of an established dialog.
+    """
 
     __slots__ = (
         "index",
         "server",
         "invite",
-        "kind",
+        "traffic_type",
         "width",
-        "far",
+        "destination",
         "key",
         "transit",
         "redialled",
         "leg",
-        "legs",
+        "leg_count",
         "answered",
-        "stands",
-        "how",
+        "established",
+        "leg_end",
         "rsn",
-        "arrived",
+        "arrived_at",
         "number",
-        "crossing",
+        "trace_id",
     )
 
     def __init__(
@@ -51,29 +74,29 @@
         index: int,
         server: ServerTransaction,
         invite: Message,
-        kind: int,
+        traffic_type: int,
         width: int,
-        far: int,
+        destination: int,
         key: tuple[str, str],
         transit: bool,
         redialled: bool,
-        arrived: int,
+        arrived_at: int,
         number: str,
     ) -> None:
-        self.index, self.server, self.kind, self.width, self.far = index, server, kind, width, far
+        self.index, self.server, self.traffic_type, self.width, self.destination = index, server, traffic_type, width, destination
         self.invite: Message | None = invite
-        self.key, self.transit, self.redialled, self.arrived = key, transit, redialled, arrived
+        self.key, self.transit, self.redialled, self.arrived_at = key, transit, redialled, arrived_at
         self.number = number
-        self.crossing = b""  # of the leg of another proxy that it is
+        self.trace_id = b""  # id of the leg in the trace of the proxy that sent this dialog
         self.leg: Leg | None = None
-        self.legs = 0
-        self.answered = self.stands = False
-        self.how: LegEnd | None = None
+        self.leg_count = 0
+        self.answered = self.established = False
+        self.leg_end: LegEnd | None = None
         self.rsn = 0
 
 
-class NoServer:
-    """In place of the server transaction of a dialog that stood before this process began."""
+class RestoredServer:
+    """Stands in for the server transaction of a dialog that was established before this process started."""
 
     __slots__ = ("owner", "request")
 
@@ -81,8 +104,8 @@
         self.owner = self.request = None
 
 
-class Onward:
-    """A request within a dialog that is passed on: its server transaction, and the way onward."""
+class ForwardedRequest:
+    """A request within a dialog that is forwarded: its server transaction and its client transaction."""
 
     __slots__ = ("server", "client")
 
@@ -91,10 +114,10 @@
         self.client: ClientTransaction | None = None
 
 
-class Asked:
-    """A probe on its way; `told` is called once with its answer, or with none."""
+class Probe:
+    """A pending probe; `on_answer` is called once, with the response or with None if there is none."""
 
-    __slots__ = ("told",)
+    __slots__ = ("on_answer",)
 
-    def __init__(self, told: Callable[[Message | None], None]) -> None:
-        self.told = told
+    def __init__(self, on_answer: Callable[[Message | None], None]) -> None:
+        self.on_answer = on_answer
--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -63,8 +63,8 @@
 
     def _sweep(self, longest_dialog: int) -> bool:
         """Dialogs that have stood past any sense: both ends died without a word."""
-        for dialog in self.proxy.standing_since(self.clock() - longest_dialog):
-            self.proxy.forget_standing(self.clock(), dialog)
+        for dialog in self.proxy.dialogs_before(self.clock() - longest_dialog):
+            self.proxy.drop_dialog(self.clock(), dialog)
             gevent.sleep(0)
         return True
 
@@ -109,7 +109,7 @@
             seeds=tuple(everybody.values()),
             sync_every=10 * period,
         )
-        duties = [Duty(f"probe {exchange}", probe_every, probe_limit, cost=0.5) for exchange in proxy.ids]
+        duties = [Duty(f"probe {exchange}", probe_every, probe_limit, cost=0.5) for exchange in proxy.exchange_ids]
         duties.append(Duty("check list", 2 * probe_every, 2 * probe_limit, cost=0.2, worth=2.0, once=False))
         self.keeper = Keeper(
             self,
@@ -250,7 +250,7 @@
     def _probe(self, duty: Duty, exchange: str) -> bool:
         """OPTIONS to an exchange, under the lease's token; its answer time is shared. One that does not answer has been
         probed all the same."""
-        gw = self.proxy.gws.get(exchange)
+        gw = self.proxy.gw_by_id.get(exchange)
         hop = self.proxy.hops[gw] if gw is not None else None
         if hop is None:
             return True
@@ -276,9 +276,9 @@
 
     def _check_list(self, duty: Duty) -> bool:
         """Which version of the list we hold; who holds an older one of the same epoch asks for it anew."""
-        watching = self.proxy.subscribers["exchange-list"].watching
-        if watching.version >= 0:
-            self._share(duty, self.keeper.token_of(duty.name), f"list {watching.epoch}", float(watching.version))
+        subscription = self.proxy.subscribers["exchange-list"].subscription
+        if subscription.version >= 0:
+            self._share(duty, self.keeper.token_of(duty.name), f"list {subscription.epoch}", float(subscription.version))
         return True
 
     def _share(self, duty: Duty, token: Token, what: str, value: float) -> None:
@@ -293,7 +293,7 @@
             if len(self.learned) > 10_000:
                 del self.learned[next(iter(self.learned))]
         if what.startswith("list "):
-            self.proxy.list_seen_elsewhere(self.clock(), what[5:], int(value))
+            self.proxy.list_version_seen(self.clock(), what[5:], int(value))
 
     # --- what operators see ---
 
--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -1,7 +1,7 @@
-"""The signalling proxy without sockets: a stateful proxy (RFC 3261 section 16) whose ways are chosen by brain.py.
+"""The signalling proxy without sockets: a stateful proxy (RFC 3261 section 16) with the decision module as its router.
 
-Everything that happens comes in through one of the public methods with the time now, one at a time; nothing in here
-waits. It is the `User` of the transactions and the `Host` of one `CallController`.
+Each event enters through one public method with the current time in tenths of a millisecond; no method blocks. The proxy
+is the `TransactionUser` of its transactions and the `Host` of one `CallController`.
 """
 
 from collections import deque
@@ -24,21 +24,21 @@
 from ..trace.tape import Tape, answer_to, crossing, recorded
 from . import sip_mapping
 from .admission import AdmissionControl
-from .calls import Asked, Call, Leg, NoServer, Onward
+from .calls import Call, ForwardedRequest, Leg, Probe, RestoredServer
 from .circuits import CircuitCounts
 from .numbering import NumberingPlan
-from .subscriptions import Ask, Body, Use, Watching
+from .subscriptions import NotificationUse, StateVersion, SubscribeAction, Subscription
 
 SECOND = 10_000
-LIST, GROUPS = "exchange-list", "trunk-groups"  # event packages of ours (RFC 6665 section 7.2)
-MOST_MESSAGES = 3  # short messages to one exchange that may be unanswered at once; a newer one says more
-SWEEP = SECOND // 4
-NOTED_LATE = 100  # 10 ms
+LIST_EVENT, GROUPS_EVENT = "exchange-list", "trunk-groups"  # event packages of this system (RFC 6665 section 7.2)
+MAX_PENDING_MESSAGES = 3  # unanswered messages per exchange; further ones are dropped, since a later one supersedes them
+SWEEP_INTERVAL = SECOND // 4
+MIN_RECORDED_DELAY = 100  # 10 ms; timers that run later by this are recorded in the trace
 DUTY_FIELD = "Gingergap-Duty"
 
 
 class ExchangeLine(msgspec.Struct):
-    """One exchange in a notified list; `started` in seconds of wall time, 0 for long ago."""
+    """One exchange in a notified list; `started` is wall time in seconds, 0 if unknown or long ago."""
 
     id: str
     number: int
@@ -49,7 +49,7 @@
 
 
 class GroupLine(msgspec.Struct):
-    """One own trunk group in a notification: circuits to exchange `number`."""
+    """One trunk group of the own exchange in a notification: its circuits to exchange `number`."""
 
     number: int
     free: int
@@ -57,6 +57,8 @@
 
 
 class ListBody(msgspec.Struct):
+    """The body of a notification of the exchange list."""
+
     version: int
     state: str
     epoch: str
@@ -64,59 +66,65 @@
 
 
 class GroupsBody(msgspec.Struct):
+    """The body of a notification of the own exchange's trunk groups."""
+
     version: int
     state: str
     epoch: str
     groups: list[GroupLine]
 
 
-LIST_BODY, GROUPS_BODY = msgspec.json.Decoder(ListBody), msgspec.json.Decoder(GroupsBody)
+LIST_DECODER, GROUPS_DECODER = msgspec.json.Decoder(ListBody), msgspec.json.Decoder(GroupsBody)
 STATES = {"gone": GwState.GONE, "draining": GwState.DRAINING, "ready": GwState.READY}
 
 
 class Subscriber:
-    """One subscription on the wire: its dialog, and what `Watching` decides of it."""
+    """The SIP dialog of one subscription, whose state machine is `subscription`."""
 
-    def __init__(self, event: str, lasts: int) -> None:
+    def __init__(self, event: str, duration: int) -> None:
         self.event = event
-        self.watching = Watching(lasts, 2 * SECOND)
+        self.subscription = Subscription(duration, 2 * SECOND)
         self.call_id = self.tag = self.to = ""
         self.cseq = 0
         self.client: ClientTransaction | None = None
-        self.again_at: int | None = None
+        self.retry_at: int | None = None
 
 
 class EdgeProxy:
-    """`address` is where it can be reached, `exchanges` is (number, id, address) of each one known at start,
-    `kinds` maps Resource-Priority values to places in `types`, `widths` gives their circuits; `wall` is the wall
-    time in seconds at `now`, by which other clocks' starts are read. `fresh` draws unguessable text."""
+    """The proxy of one exchange.
+
+    `address` is its own host and port. `exchanges` holds (number, id, address) of the exchanges known at start.
+    `types_by_priority` maps Resource-Priority values to indices in `traffic_types`, `circuits_by_type` has the circuits
+    of each type. `wall_time` is the wall time at `now` in seconds, used to convert the start times of exchanges.
+    `random_text(length)` returns unguessable text. `gw` is the index of an exchange machine, as in `Host`.
+    """
 
     def __init__(
         self,
-        wire: Transport,
+        transport: Transport,
         now: int,
-        wall: float,
-        fresh: Any,
+        wall_time: float,
+        random_text: Any,
         log: Any,
         *,
         address: tuple[str, int],
         domain: str,
-        here: int,
+        own_exchange: int,
         seed: int,
         exchanges: list[tuple[int, str, tuple[str, int]]],
         exchange_list: tuple[str, int] | None,
-        types: list[TrafficType],
-        kinds: dict[str, int],
-        widths: list[int],
+        traffic_types: list[TrafficType],
+        types_by_priority: dict[str, int],
+        circuits_by_type: list[int],
         numbering: NumberingPlan,
         admission: AdmissionControl,
         default_expires: int,
-        most_transactions: int,
+        max_transactions: int,
         t1: int,
         release_guard: int,
-        most_legs: int,
-        longest_hold_off: int,
-        tells: bool,
+        max_legs: int,
+        max_hold_off: int,
+        tells_peers: bool,
         cold_from: float,
         warm_after: int,
         multiple: float,
@@ -125,74 +133,76 @@
         memory: Memory | None = None,
         recalled: Recalled | None = None,
     ) -> None:
-        self.wire, self.log, self.fresh = wire, log, fresh
-        self.address, self.domain, self.here = address, domain, here
+        self.transport, self.log, self.random_text = transport, log, random_text
+        self.address, self.domain, self.own_exchange = address, domain, own_exchange
         self.tape, self.memory = tape, memory
         self.audit = Audit()
-        self.types, self.kinds, self.widths = types, kinds, widths
+        self.traffic_types, self.types_by_priority, self.circuits_by_type = traffic_types, types_by_priority, circuits_by_type
         self.numbering, self.admission, self.default_expires = numbering, admission, default_expires
-        self.now, self.wall_at_start, self.started_at = now, wall, now
-        self.transactions = Transactions(self, wire, address, t1=t1, t2=8 * t1, t4=10 * t1, max_servers=most_transactions)
-        self.boot = fresh(6)
+        self.now, self.wall_time_at_start, self.started_at = now, wall_time, now
+        self.transactions = Transactions(self, transport, address, t1=t1, t2=8 * t1, t4=10 * t1, max_servers=max_transactions)
+        self.run_id = random_text(6)
         self.serial = 0
         self.uri = f"sip:{address[0]}:{address[1]}"
         self.calls: dict[int, Call] = {}
-        self.by_key: dict[tuple[str, str], Call] = {}
-        self.call_count = 0
-        self.open_dialogs = 0  # not yet answered
-        self.released: dict[tuple[str, str], int] = {}  # 2xx that nobody wanted: BYE sent, until when noted
+        self.calls_by_key: dict[tuple[str, str], Call] = {}
+        self.next_call_index = 0
+        self.open_dialogs = 0  # without a final response
+        self.released_answers: dict[tuple[str, str], int] = {}  # unwanted 2xx whose BYE was sent: dialog key to expiry time
         self.circuits = CircuitCounts()
-        self.due_legs: list[tuple[int, int, int]] = []  # (when, leg's serial, dialog): not the leg, which may be long over
-        self.soon: deque[tuple[Leg, LegEnd, int]] = deque()
+        self.leg_timers: list[
+            tuple[int, int, int]
+        ] = []  # (due at, serial of the leg, dialog); no reference to the leg, which may have ended
+        self.ended_legs: deque[tuple[Leg, LegEnd, int]] = deque()
         self.wake_at: int | None = None
-        self.sweep_at = now + SWEEP
+        self.next_sweep_at = now + SWEEP_INTERVAL
         self.counts: dict[str, int] = {}
-        self.ids: list[str] = []  # by gw
-        self.gws: dict[str, int] = {}
-        self.numbers: list[int] = []  # by gw
+        self.exchange_ids: list[str] = []  # by gw
+        self.gw_by_id: dict[str, int] = {}
+        self.exchange_numbers: list[int] = []  # by gw
         self.hops: list[Hop | None] = []  # by gw
-        self.starts: dict[tuple[int, float], int] = {}
-        self.messages_out: dict[int, int] = {}
-        self.list_at = exchange_list
-        self.subscribers = {LIST: Subscriber(LIST, 60 * SECOND), GROUPS: Subscriber(GROUPS, 20 * SECOND)}
-        figures = {
+        self.local_starts: dict[tuple[int, float], int] = {}
+        self.pending_messages: dict[int, int] = {}
+        self.list_address = exchange_list
+        self.subscribers = {LIST_EVENT: Subscriber(LIST_EVENT, 60 * SECOND), GROUPS_EVENT: Subscriber(GROUPS_EVENT, 20 * SECOND)}
+        controller_arguments = {
             "release_guard": release_guard,
-            "most_legs": most_legs,
-            "longest_hold_off": longest_hold_off,
+            "most_legs": max_legs,
+            "longest_hold_off": max_hold_off,
             "may_cancel": True,
             "must_ask": exchange_list is not None,
-            "may_tell": tells,
+            "may_tell": tells_peers,
             "centre_advises": False,
             "cold_from": cold_from,
             "warm_after": warm_after,
             "multiple": multiple,
             "fall_span": fall_span,
         }
-        self.figures = {
-            **figures,
+        self.controller_arguments = {
+            **controller_arguments,
             "seed": seed,
-            "here": here,
+            "here": own_exchange,
             "proxies": len(exchanges),
-            "types": [[*entry[:5], None if entry.pools is None else sorted(entry.pools)] for entry in types],
+            "types": [[*entry[:5], None if entry.pools is None else sorted(entry.pools)] for entry in traffic_types],
         }
         if tape is None:
-            self.controller = CallController(self, seed, here, len(exchanges), types, **figures)
+            self.controller = CallController(self, seed, own_exchange, len(exchanges), traffic_types, **controller_arguments)
         else:
-            self.controller = recorded(tape, self, seed, here, len(exchanges), types, **figures)
+            self.controller = recorded(tape, self, seed, own_exchange, len(exchanges), traffic_types, **controller_arguments)
         known = []
         for number, name, (host, port) in exchanges:
-            gw = self._gw(name, number)
+            gw = self._gw_of(name, number)
             self.hops[gw] = Hop("UDP", host, port)
             if memory is not None:
                 memory.known(name, number, f"{host}:{port}", "UDP")
             known.append(ListEntry(gw, number, GwState.READY, 0))
         self.controller.list_pushed(now, known, True)
         if recalled is not None:
-            self._recall(now, recalled)
+            self._restore(now, recalled)
         self.controller.begin(now)
-        self._subscribe(now, self.subscribers[GROUPS], self.subscribers[GROUPS].watching.want(now))
+        self._perform_action(now, self.subscribers[GROUPS_EVENT], self.subscribers[GROUPS_EVENT].subscription.start(now))
 
-    # --- what can happen: messages ---------------------------------------------------------------------
+    # --- events of the process: messages and time ------------------------------------------------------
 
     def got(self, now: int, message: Message, hop: Hop) -> None:
         self.now = now
@@ -200,69 +210,69 @@
             self.transactions.received(now, message, hop)
         except BadMessageError as bad:
             self.got_bad(now, bad, hop)
-        self._settle(now)
+        self._report_ended_legs(now)
 
     def got_bad(self, now: int, bad: BadMessageError, hop: Hop) -> None:
-        """Bytes or a request that can't be used: answered where the RFC gives a status and a way back."""
+        """An unusable message: answered if RFC 3261 defines a status and the response can be addressed."""
         self.now = now
         self._count("bad message")
         message = bad.message
         self.log.debug("bad-message", why=str(bad), peer=f"{hop.host}:{hop.port}", status=bad.status)
         if message is not None and message.method and bad.status:
             self.transactions.respond_statelessly(
-                message, bad.status, self._still_tag(message), hop, [("Warning", f'399 {self.domain} "{_plain(str(bad))}"')]
+                message, bad.status, self._stable_tag(message), hop, [("Warning", f'399 {self.domain} "{_quotable(str(bad))}"')]
             )
 
     def hop_failed(self, now: int, hop: Hop, reset: bool) -> None:
         self.now = now
         self.transactions.hop_failed(now, hop, reset)
-        self._settle(now)
+        self._report_ended_legs(now)
 
     def due(self, now: int) -> None:
-        """Time has passed: fire what is due."""
+        """Run everything that is due by now."""
         self.now = now
         self.transactions.fire_timers(now)
-        self._settle(now)
-        while self.due_legs and self.due_legs[0][0] <= now:
-            _, serial, dialog = heappop(self.due_legs)
+        self._report_ended_legs(now)
+        while self.leg_timers and self.leg_timers[0][0] <= now:
+            _, serial, dialog = heappop(self.leg_timers)
             call = self.calls.get(dialog)
-            if call is not None and call.leg is not None and call.leg.serial == serial and not call.stands:
-                self._give_up(now, call.leg, LegEnd.NO_ANSWER)
-        self._settle(now)
+            if call is not None and call.leg is not None and call.leg.serial == serial and not call.established:
+                self._abandon_leg(now, call.leg, LegEnd.NO_ANSWER)
+        self._report_ended_legs(now)
         if self.wake_at is not None and now >= self.wake_at:
             self.wake_at = None
             self.controller.beat(now)
-            self._settle(now)
-        if now >= self.sweep_at:
-            self.sweep_at = now + SWEEP
-            while self.released and next(iter(self.released.values())) <= now:
-                del self.released[next(iter(self.released))]
+            self._report_ended_legs(now)
+        if now >= self.next_sweep_at:
+            self.next_sweep_at = now + SWEEP_INTERVAL
+            while self.released_answers and next(iter(self.released_answers.values())) <= now:
+                del self.released_answers[next(iter(self.released_answers))]
             for number, free, size in self.circuits.expire_doubts(now):
-                self._group_told(now, number, free, size)
-        for sub in self.subscribers.values():
-            if sub.again_at is not None and now >= sub.again_at:
-                sub.again_at = None
-                self._subscribe(now, sub, sub.watching.want(now))
-            self._subscribe(now, sub, sub.watching.due(now))
+                self._apply_group(now, number, free, size)
+        for subscriber in self.subscribers.values():
+            if subscriber.retry_at is not None and now >= subscriber.retry_at:
+                subscriber.retry_at = None
+                self._perform_action(now, subscriber, subscriber.subscription.start(now))
+            self._perform_action(now, subscriber, subscriber.subscription.next_action(now))
 
-    def _settle(self, now: int) -> None:
-        """Ends that arose while the controller was at work are told once it is done."""
-        while self.soon:
-            leg, how, rsn = self.soon.popleft()
-            self._leg_over(now, leg, how, rsn)
+    def _report_ended_legs(self, now: int) -> None:
+        """Report ended legs to the controller, outside of its own calls to the host."""
+        while self.ended_legs:
+            leg, leg_end, rsn = self.ended_legs.popleft()
+            self._finish_leg(now, leg, leg_end, rsn)
 
-    # --- what can happen: the transactions' user ----------------------------------------------------------
+    # --- events of the transactions ----------------------------------------------------------------------
 
     def request_received(self, now: int, server: ServerTransaction, message: Message) -> None:
         method = message.method
         if method == "INVITE" and not tag_of(message.get("To")):
-            self._invited(now, server, message)
+            self._handle_invite(now, server, message)
         elif method == "CANCEL":
-            self._cancelled(now, server, message)
+            self._handle_cancel(now, server, message)
         elif method == "NOTIFY":
-            self._notified(now, server, message)
+            self._handle_notify(now, server, message)
         elif tag_of(message.get("To")):
-            self._within_dialog(now, server, message)
+            self._forward_in_dialog(now, server, message)
         elif method == "OPTIONS":
             if self.admission.draining:
                 self._answer(now, server, 503, [("Retry-After", "5")])
@@ -277,124 +287,147 @@
                     ],
                 )
         elif method == "MESSAGE":
-            self._told(now, server, message)
+            self._handle_peer_message(now, server, message)
         elif method == "BYE":
             self._answer(now, server, 481)
         else:
             self._answer(now, server, 405, [("Allow", "INVITE, ACK, CANCEL, BYE, OPTIONS, MESSAGE, NOTIFY")])
 
     def ack_received(self, now: int, message: Message, hop: Hop) -> None:
-        """The ACK of a 2xx goes end to end (section 16.11 forwards it without state)."""
+        """The ACK of a 2xx is end to end and forwarded statelessly (section 16.11)."""
         try:
-            onward = self._prepared(message)
+            onward = self._prepare_forwarding(message)
             next_hop(onward)
         except BadMessageError:
-            return  # no answer is due to an ACK
+            return  # an ACK has no response
         branch = MAGIC_COOKIE + "a" + blake2s(top_via(message).branch.encode(errors="replace"), digest_size=10).hexdigest()
-        if not self._is_own(onward):
+        if not self._is_addressed_here(onward):
             self._send_stateless(onward, branch)
 
     def transaction_limit_reached(self, now: int, message: Message, hop: Hop) -> None:
         self._count("transactions full")
-        self.transactions.respond_statelessly(message, 503, self._still_tag(message), hop, [("Retry-After", "1")])
+        self.transactions.respond_statelessly(message, 503, self._stable_tag(message), hop, [("Retry-After", "1")])
 
     def response_received(self, now: int, client: ClientTransaction, message: Message) -> None:
         owner = client.owner
         if type(owner) is Leg:
-            self._leg_answered(now, owner, message)
-        elif type(owner) is Onward:
+            self._handle_leg_response(now, owner, message)
+        elif type(owner) is ForwardedRequest:
             if message.status > 100:
                 message.pop_first("Via")
                 self.transactions.respond(now, owner.server, message)
         elif type(owner) is Subscriber:
-            self._subscribe_answered(now, owner, client, message)
-        elif type(owner) is Asked:
-            owner.told(message)
+            self._handle_subscribe_response(now, owner, client, message)
+        elif type(owner) is Probe:
+            owner.on_answer(message)
         elif type(owner) is int:
-            self.messages_out[owner] -= 1
+            self.pending_messages[owner] -= 1
 
     def stray_response(self, now: int, message: Message) -> None:
-        call = self.by_key.get((message.call_id, tag_of(message.get("From"))))
+        call = self.calls_by_key.get((message.call_id, tag_of(message.get("From"))))
         if call is not None and call.leg is not None and call.leg.tag == tag_of(message.get("To")):
-            self._pass_back(message)  # the 2xx of a dialog that stood before this process began: its ACK was lost
+            self._forward_response(message)  # a dialog from before this process started, whose ACK was lost
         else:
-            self._release(now, message)
+            self._release_answer(now, message)
 
-    def client_failed(self, now: int, client: ClientTransaction, how: ClientFailure) -> None:
+    def client_failed(self, now: int, client: ClientTransaction, failure: ClientFailure) -> None:
         owner = client.owner
         if type(owner) is Leg:
-            if owner.over:
-                if how == ClientFailure.RESET and owner.given_up and not owner.call.answered:
+            if owner.finished:
+                if failure == ClientFailure.RESET and owner.given_up and not owner.call.answered:
                     self.controller.leg_cut_late(now, owner.call.index)
                 return
             end = {
                 ClientFailure.TIMEOUT: LegEnd.NO_ANSWER,
                 ClientFailure.UNREACHABLE: LegEnd.UNREACHABLE,
                 ClientFailure.RESET: LegEnd.CUT,
-            }[how]
-            self.soon.append((owner, end, 0))
-        elif type(owner) is Onward:
-            self._answer(now, owner.server, 408 if how == ClientFailure.TIMEOUT else 503)
+            }[failure]
+            self.ended_legs.append((owner, end, 0))
+        elif type(owner) is ForwardedRequest:
+            self._answer(now, owner.server, 408 if failure == ClientFailure.TIMEOUT else 503)
         elif type(owner) is Subscriber:
             if client is owner.client:
-                self._subscribe(now, owner, owner.watching.refused(now))
-        elif type(owner) is Asked:
-            owner.told(None)
+                self._perform_action(now, owner, owner.subscription.ended(now))
+        elif type(owner) is Probe:
+            owner.on_answer(None)
         elif type(owner) is int:
-            self.messages_out[owner] -= 1
+            self.pending_messages[owner] -= 1
 
     def ack_timed_out(self, now: int, server: ServerTransaction) -> None:
         self._count("answer never acknowledged")
 
-    # --- a dialog comes ----------------------------------------------------------------------------------
+    # --- new dialogs -------------------------------------------------------------------------------------
 
-    def _invited(self, now: int, server: ServerTransaction, message: Message) -> None:
+    def _handle_invite(self, now: int, server: ServerTransaction, message: Message) -> None:
         try:
-            told = sip_mapping.marks_of(message)
-            expires = sip_mapping.time_left(message, told, self.default_expires)
+            dialog_params = sip_mapping.parse_dialog_params(message)
+            expires_in = sip_mapping.caller_time_left(message, dialog_params, self.default_expires)
             number = parse_uri(message.uri).user
-            hops = self._hops_left(message)
+            hops_left = self._hops_left(message)
             vias = [parse_via(value) for value in message.all("Via")[1:]]
             contact = message.get("Contact")
             if not contact:
                 raise BadMessageError("Contact is missing")
             parse_uri(parse_address(message.all("Contact")[0])[0])
         except BadMessageError as bad:
-            self._answer(now, server, bad.status or 400, [("Warning", f'399 {self.domain} "{_plain(str(bad))}"')])
+            self._answer(now, server, bad.status or 400, [("Warning", f'399 {self.domain} "{_quotable(str(bad))}"')])
             return
         key = message.call_id, tag_of(message.get("From"))
-        if hops <= 0:
+        if hops_left <= 0:
             self._answer(now, server, 483)
             return
-        if key in self.by_key or any((via.host, via.port) == self.address for via in vias):
-            self._answer(now, server, 482)  # it came round, or by two ways (sections 16.3 and 8.2.2.2)
+        if key in self.calls_by_key or any((via.host, via.port) == self.address for via in vias):
+            self._answer(now, server, 482)  # a loop, or received by two paths (sections 16.3 and 8.2.2.2)
             return
         if message.has("Proxy-Require"):
             self._answer(now, server, 420, [("Unsupported", ", ".join(message.all("Proxy-Require")))])
             return
-        far = self.numbering.exchange_of(number)
-        if far < 0:
+        destination = self.numbering.exchange_of(number)
+        if destination < 0:
             self._answer(now, server, 404, [sip_mapping.q850_reason(1)])
             return
-        kind = sip_mapping.kind_of(message, self.kinds)
-        away = self.admission.retry_after(kind, self.open_dialogs)
-        if away:
+        traffic_type = sip_mapping.traffic_type_of(message, self.types_by_priority)
+        retry_after = self.admission.retry_after(traffic_type, self.open_dialogs)
+        if retry_after:
             self._count("turned away at the door")
-            self._note("turned_away", kind, int(self.admission.lag), self.open_dialogs)
-            self._answer(now, server, 503, [("Retry-After", str(away)), sip_mapping.q850_reason(sip_mapping.CONGESTION)])
+            self._note("turned_away", traffic_type, int(self.admission.lag), self.open_dialogs)
+            self._answer(now, server, 503, [("Retry-After", str(retry_after)), sip_mapping.q850_reason(sip_mapping.CONGESTION)])
             return
-        call = Call(self.call_count, server, message, kind, self.widths[kind], far, key, told.transit, told.redialled, now, number)
-        if told.transit:
-            self._came_by(call, message)
-        self.call_count += 1
+        call = Call(
+            self.next_call_index,
+            server,
+            message,
+            traffic_type,
+            self.circuits_by_type[traffic_type],
+            destination,
+            key,
+            dialog_params.transit,
+            dialog_params.redialled,
+            now,
+            number,
+        )
+        if dialog_params.transit:
+            self._trace_arrival(call, message)
+        self.next_call_index += 1
         server.owner = call
-        self.calls[call.index] = self.by_key[key] = call
+        self.calls[call.index] = self.calls_by_key[key] = call
         self.open_dialogs += 1
         self._count("dialogs")
         self.transactions.respond(now, server, response(message, 100))
-        self.controller.dialog_came(now, call.index, kind, far, call.width, number, expires, told.transit, told.redialled, told.cut)
+        self.controller.dialog_came(
+            now,
+            call.index,
+            traffic_type,
+            destination,
+            call.width,
+            number,
+            expires_in,
+            dialog_params.transit,
+            dialog_params.redialled,
+            dialog_params.cut,
+        )
 
-    def _cancelled(self, now: int, server: ServerTransaction, message: Message) -> None:
+    def _handle_cancel(self, now: int, server: ServerTransaction, message: Message) -> None:
         branch, sent_by, _ = server.key
         invited = self.transactions.servers.get((branch, sent_by, "INVITE"))
         if invited is None:
@@ -402,136 +435,139 @@
             return
         self._answer(now, server, 200)
         owner = invited.owner
-        if type(owner) is Onward and owner.client is not None:
+        if type(owner) is ForwardedRequest and owner.client is not None:
             self.transactions.cancel(now, owner.client)
         elif type(owner) is Call and not owner.answered:
-            # Answered at once: a leg that is out is called off, and should its 2xx cross the CANCEL, released.
-            self._final(now, owner, 487, [])
+            # Answered at once: a pending leg is cancelled and, if its 2xx crosses the CANCEL, released.
+            self._send_final(now, owner, 487, [])
             self._count("given up by callers")
             self.controller.dialog_gone(now, owner.index)
             if owner.leg is not None:
-                self._give_up(now, owner.leg, LegEnd.CANCELLED)
+                self._abandon_leg(now, owner.leg, LegEnd.CANCELLED)
             else:
                 self._forget(owner)
 
-    # --- what the controller asks for -------------------------------------------------------------------
+    # --- actions of the controller -----------------------------------------------------------------------
 
     def send_leg(self, dialog: int, gw: int, limit: int) -> None:
         call, now = self.calls[dialog], self.now
         self.serial += 1
-        leg = Leg(call, gw, self.numbers[gw], call.legs, self.serial, now)
-        call.legs += 1
+        leg = Leg(call, gw, self.exchange_numbers[gw], call.leg_count, self.serial, now)
+        call.leg_count += 1
         call.leg = leg
         hop = self.hops[gw]
         if hop is None or call.invite is None:
-            self.soon.append((leg, LegEnd.NOT_SENT, 0))
+            self.ended_legs.append((leg, LegEnd.NOT_SENT, 0))
             return
         invite = self._leg_invite(call, leg, hop, limit)
         self._count("legs")
-        self.circuits.leg_sent(leg.far, leg.serial, call.width)
+        self.circuits.leg_sent(leg.exchange, leg.serial, call.width)
         branch = self._branch()
         leg.client = self.transactions.request(now, invite, hop, branch, leg)
-        if leg.far != call.far:
-            leg.crossing = crossing(branch)
-            self._note("sent", leg.crossing, dialog)
-        heappush(self.due_legs, (now + limit, leg.serial, call.index))
+        if leg.exchange != call.destination:
+            leg.trace_id = crossing(branch)
+            self._note("sent", leg.trace_id, dialog)
+        heappush(self.leg_timers, (now + limit, leg.serial, call.index))
 
     def cancel_leg(self, dialog: int, leg: int) -> None:
         call = self.calls.get(dialog)
-        if call is not None and call.leg is not None and call.leg.place == leg:
+        if call is not None and call.leg is not None and call.leg.index == leg:
             self._count("legs called off")
-            self._give_up(self.now, call.leg, LegEnd.CANCELLED)
+            self._abandon_leg(self.now, call.leg, LegEnd.CANCELLED)
 
     def decline(self, dialog: int, hold_off: int) -> None:
         call = self.calls[dialog]
         self._count("declined")
-        if call.crossing:
-            self._note("sent", answer_to(call.crossing), dialog)
-        self._final(self.now, call, *sip_mapping.declined(call.transit, call.how, call.rsn, hold_off))
+        if call.trace_id:
+            self._note("sent", answer_to(call.trace_id), dialog)
+        self._send_final(self.now, call, *sip_mapping.decline_response(call.transit, call.leg_end, call.rsn, hold_off))
         if call.leg is None:
             self._forget(call)
 
     def abort(self, dialog: int) -> None:
         call = self.calls[dialog]
         self._count("aborted")
-        self._final(self.now, call, *sip_mapping.aborted())
+        self._send_final(self.now, call, *sip_mapping.abort_response())
         if call.leg is None:
             self._forget(call)
 
     def wake_after(self, delay: int) -> None:
         self.wake_at = self.now + delay
 
-    def tell_all(self, told: bytes) -> None:
-        for gw, number in enumerate(self.numbers):
+    def tell_all(self, payload: bytes) -> None:
+        for gw, number in enumerate(self.exchange_numbers):
             hop = self.hops[gw]
-            ex = self.controller.by_number.get(number)
+            exchange = self.controller.by_number.get(number)
             if (
-                number == self.here
+                number == self.own_exchange
                 or hop is None
-                or ex is None
-                or ex.gw != gw
-                or not ex.ready
-                or self.messages_out.get(gw, 0) >= MOST_MESSAGES
+                or exchange is None
+                or exchange.gw != gw
+                or not exchange.ready
+                or self.pending_messages.get(gw, 0) >= MAX_PENDING_MESSAGES
             ):
                 continue
-            message = Message("MESSAGE", f"sip:proxy@{hop.host}:{hop.port}", body=told)
+            message = Message("MESSAGE", f"sip:proxy@{hop.host}:{hop.port}", body=payload)
             message.fields = [
-                ("From", f"<{self.uri}>;tag={self.fresh(8)}"),
+                ("From", f"<{self.uri}>;tag={self.random_text(8)}"),
                 ("To", f"<{message.uri}>"),
-                ("Call-ID", self.fresh(16)),
+                ("Call-ID", self.random_text(16)),
                 ("CSeq", "1 MESSAGE"),
                 ("Max-Forwards", "10"),
                 ("Content-Type", "application/octet-stream"),
             ]
-            self.messages_out[gw] = self.messages_out.get(gw, 0) + 1
+            self.pending_messages[gw] = self.pending_messages.get(gw, 0) + 1
             self._note("sent", crossing(message.call_id), -1)
             self.transactions.request(self.now, message, hop, self._branch(), gw)
 
     def subscribe(self) -> None:
-        sub = self.subscribers[LIST]
-        self._subscribe(self.now, sub, sub.watching.want(self.now))
+        subscriber = self.subscribers[LIST_EVENT]
+        self._perform_action(self.now, subscriber, subscriber.subscription.start(self.now))
 
     # --- legs --------------------------------------------------------------------------------------------
 
     def _leg_invite(self, call: Call, leg: Leg, hop: Hop, limit: int) -> Message:
-        """The INVITE as it goes on (section 16.6), on the trunk group that the leg takes (RFC 4904)."""
+        """The INVITE of a leg (section 16.6), with the trunk group that the leg takes (RFC 4904)."""
         invite = call.invite.copy()
-        over = leg.far != call.far
-        way = ";transport=tcp" if hop.transport == "TCP" else ""
-        invite.uri = f"sip:{call.number};tgrp=g{self.here}-{leg.far};trunk-context={self.domain}@{hop.host}:{hop.port}{way}"
+        via_tandem = leg.exchange != call.destination
+        outgoing = ";transport=tcp" if hop.transport == "TCP" else ""
+        invite.uri = (
+            f"sip:{call.number};tgrp=g{self.own_exchange}-{leg.exchange};trunk-context="
+            f"{self.domain}@{hop.host}:{hop.port}{outgoing}"
+        )
         self._strip_routes(invite)
         invite.put("Max-Forwards", str(self._hops_left(invite) - 1))
-        came = ";transport=tcp" if call.server.hop.transport == "TCP" else ""
-        if came != way:  # RFC 5658: each side is told the transport that it uses
-            invite.push("Record-Route", f"<{self.uri}{came};lr>")
-        invite.push("Record-Route", f"<{self.uri}{way};lr>")
+        incoming = ";transport=tcp" if call.server.hop.transport == "TCP" else ""
+        if incoming != outgoing:  # RFC 5658: each side gets a Record-Route with its own transport
+            invite.push("Record-Route", f"<{self.uri}{incoming};lr>")
+        invite.push("Record-Route", f"<{self.uri}{outgoing};lr>")
         invite.put("Expires", str(max(1, -(-limit // SECOND))))
-        invite.put(sip_mapping.DIALOG_FIELD, sip_mapping.marks(call.redialled, False, over, limit // 10))
+        invite.put(sip_mapping.DIALOG_FIELD, sip_mapping.format_dialog_params(call.redialled, False, via_tandem, limit // 10))
         return invite
 
-    def _leg_answered(self, now: int, leg: Leg, message: Message) -> None:
+    def _handle_leg_response(self, now: int, leg: Leg, message: Message) -> None:
         call, status = leg.call, message.status
-        self.circuits.leg_reported(leg.far, leg.serial)
+        self.circuits.leg_reported(leg.exchange, leg.serial)
         if status < 200:
-            if status > 100 and not call.answered and not leg.over:
+            if status > 100 and not call.answered and not leg.finished:
                 message.pop_first("Via")
                 self.transactions.respond(now, call.server, message)
             return
         if status < 300:
             tag = tag_of(message.get("To"))
-            if leg.tag and tag == leg.tag:  # its ACK was lost
+            if leg.tag and tag == leg.tag:  # retransmitted because its ACK was lost
                 message.pop_first("Via")
                 self.transactions.respond(now, call.server, message)
                 return
-            if leg.over or leg.given_up or call.answered:
-                self._release(now, message)  # late, or a fork after the first
+            if leg.finished or leg.given_up or call.answered:
+                self._release_answer(now, message)  # too late, or from another branch of a fork
                 return
             if not message.has("Contact"):
-                self.soon.append((leg, LegEnd.BUSY, 0))  # nothing within such a dialog could reach its end
+                self.ended_legs.append((leg, LegEnd.BUSY, 0))  # without Contact no request in the dialog could be routed
                 return
             message.pop_first("Via")
             leg.tag = tag
-            call.stands = call.answered = True
+            call.established = call.answered = True
             self.open_dialogs -= 1
             self._count("stand")
             self.transactions.respond(now, call.server, message)
@@ -539,74 +575,81 @@
                 self.memory.stood(
                     *call.key,
                     KeptStanding(
-                        call.kind, call.width, call.far, self.ids[leg.gw], leg.far, self._wall(call.arrived), call.transit, tag
+                        call.traffic_type,
+                        call.width,
+                        call.destination,
+                        self.exchange_ids[leg.gw],
+                        leg.exchange,
+                        self._wall_time(call.arrived_at),
+                        call.transit,
+                        tag,
                     ),
                 )
             call.invite = None
             call.number = ""
             leg.client.request = call.server.request = None
-            if leg.crossing:
-                self._note("came", answer_to(leg.crossing), call.index)
-            if call.crossing:
-                self._note("sent", answer_to(call.crossing), call.index)
-            self.controller.dialog_stands(now, call.index, now - leg.started)
+            if leg.trace_id:
+                self._note("came", answer_to(leg.trace_id), call.index)
+            if call.trace_id:
+                self._note("sent", answer_to(call.trace_id), call.index)
+            self.controller.dialog_stands(now, call.index, now - leg.sent_at)
             return
-        if not leg.over:
-            self.soon.append((leg, *sip_mapping.leg_end(message, leg.far != call.far)))
+        if not leg.finished:
+            self.ended_legs.append((leg, *sip_mapping.leg_end_of(message, leg.exchange != call.destination)))
 
-    def _give_up(self, now: int, leg: Leg, how: LegEnd) -> None:
-        """Nobody waits for this leg any more: called off, and its end told as soon as may be."""
-        if leg.over or leg.given_up:
+    def _abandon_leg(self, now: int, leg: Leg, leg_end: LegEnd) -> None:
+        """Stop waiting for a leg: cancel it and report its end."""
+        if leg.finished or leg.given_up:
             return
         leg.given_up = True
         if leg.client is not None:
             self.transactions.cancel(now, leg.client)
-        self.soon.append((leg, how, 0))
+        self.ended_legs.append((leg, leg_end, 0))
 
-    def _leg_over(self, now: int, leg: Leg, how: LegEnd, rsn: int) -> None:
-        if leg.over:
+    def _finish_leg(self, now: int, leg: Leg, leg_end: LegEnd, rsn: int) -> None:
+        if leg.finished:
             return
         call = leg.call
-        leg.over = True
+        leg.finished = True
         call.leg = None
-        call.how, call.rsn = how, rsn
-        self.circuits.leg_reported(leg.far, leg.serial)
-        if how == LegEnd.FULL and rsn == Rsn.NO_CIRCUIT:
-            self.circuits.group_refused(now, leg.far, call.width)
-        self._count(f"legs ended {how.name.lower()}")
-        over = call.answered
-        if leg.crossing and rsn == Rsn.TANDEM_DECLINED:  # only the proxy there says that
-            self._note("came", answer_to(leg.crossing), call.index)
-        if over:
+        call.leg_end, call.rsn = leg_end, rsn
+        self.circuits.leg_reported(leg.exchange, leg.serial)
+        if leg_end == LegEnd.FULL and rsn == Rsn.NO_CIRCUIT:
+            self.circuits.group_refused(now, leg.exchange, call.width)
+        self._count(f"legs ended {leg_end.name.lower()}")
+        answered = call.answered
+        if leg.trace_id and rsn == Rsn.TANDEM_DECLINED:  # a cause that only the tandem's proxy gives
+            self._note("came", answer_to(leg.trace_id), call.index)
+        if answered:
             self._forget(call)
-        if type(call.server) is NoServer:  # the module never heard of it
-            self.audit.over(leg.far, call.index)
+        if type(call.server) is RestoredServer:  # restored from the store, unknown to the controller
+            self.audit.over(leg.exchange, call.index)
             return
-        self.controller.leg_ended(now, call.index, leg.gw, how, rsn, over, *self.circuits.count(leg.far))
+        self.controller.leg_ended(now, call.index, leg.gw, leg_end, rsn, answered, *self.circuits.count(leg.exchange))
 
-    def _final(self, now: int, call: Call, status: int, fields: list[tuple[str, str]]) -> None:
+    def _send_final(self, now: int, call: Call, status: int, fields: list[tuple[str, str]]) -> None:
         call.answered = True
         self.open_dialogs -= 1
         self._answer(now, call.server, status, fields)
 
     def _forget(self, call: Call) -> None:
-        if call.stands and self.calls.pop(call.index, None) is not None and self.memory is not None:
+        if call.established and self.calls.pop(call.index, None) is not None and self.memory is not None:
             self.memory.over(*call.key)
         self.calls.pop(call.index, None)
-        if self.by_key.get(call.key) is call:
-            del self.by_key[call.key]
+        if self.calls_by_key.get(call.key) is call:
+            del self.calls_by_key[call.key]
         call.server.owner = None
 
-    def _release(self, now: int, answer: Message) -> None:
-        """End a leg that answered when nobody wanted it any more: ACK each 2xx, BYE once."""
+    def _release_answer(self, now: int, answer: Message) -> None:
+        """Release a leg whose 2xx is not wanted: ACK each copy of the 2xx, send BYE once."""
         self._count("late answers released")
         try:
             dialog = dialog_to_release(answer, self.address)
             ack = dialog.request("ACK")
             key = dialog.call_id, tag_of(dialog.remote)
             self._send_stateless(ack, self._branch())
-            if key not in self.released:
-                self.released[key] = self.now + 64 * self.transactions.t1
+            if key not in self.released_answers:
+                self.released_answers[key] = self.now + 64 * self.transactions.t1
                 bye = dialog.request("BYE")
                 bye.fields.append(sip_mapping.q850_reason(sip_mapping.NORMAL))
                 self.transactions.request(now, bye, next_hop(bye), self._branch())
@@ -615,40 +658,40 @@
 
     # --- within dialogs ----------------------------------------------------------------------------------
 
-    def _within_dialog(self, now: int, server: ServerTransaction, message: Message) -> None:
+    def _forward_in_dialog(self, now: int, server: ServerTransaction, message: Message) -> None:
         try:
-            onward = self._prepared(message)
-            if self._is_own(onward):
+            onward = self._prepare_forwarding(message)
+            if self._is_addressed_here(onward):
                 self._answer(now, server, 481)
                 return
             hop = next_hop(onward)
         except BadMessageError as bad:
             self._answer(now, server, bad.status or 400)
             return
-        link = Onward(server)
-        server.owner = link
+        forwarding = ForwardedRequest(server)
+        server.owner = forwarding
         if message.method == "INVITE":
             self.transactions.respond(now, server, response(message, 100))
-        link.client = self.transactions.request(now, onward, hop, self._branch(), link)
+        forwarding.client = self.transactions.request(now, onward, hop, self._branch(), forwarding)
         if message.method == "BYE":
-            self._bye(now, message)
+            self._handle_bye(now, message)
 
-    def _bye(self, now: int, message: Message) -> None:
+    def _handle_bye(self, now: int, message: Message) -> None:
         call_id = message.call_id
-        by_caller = self.by_key.get((call_id, tag_of(message.get("From"))))
-        call = by_caller or self.by_key.get((call_id, tag_of(message.get("To"))))
-        if call is None or not call.stands or call.leg is None:
-            return  # the other end's BYE came before, or the dialog is older than this process
-        self.soon.append((call.leg, LegEnd.ENDED if by_caller else sip_mapping.release_end(message), 0))
-
-    def _prepared(self, message: Message) -> Message:
-        """A request within a dialog as it goes on: own routes off, one hop less."""
-        hops = self._hops_left(message)
-        if hops <= 0:
+        by_caller = self.calls_by_key.get((call_id, tag_of(message.get("From"))))
+        call = by_caller or self.calls_by_key.get((call_id, tag_of(message.get("To"))))
+        if call is None or not call.established or call.leg is None:
+            return  # the other end sent BYE first, or the dialog is older than this process
+        self.ended_legs.append((call.leg, LegEnd.ENDED if by_caller else sip_mapping.release_end_of(message), 0))
+
+    def _prepare_forwarding(self, message: Message) -> Message:
+        """A request within a dialog as it is forwarded: without own Route values, Max-Forwards reduced by one."""
+        hops_left = self._hops_left(message)
+        if hops_left <= 0:
             raise BadMessageError("no hops are left", 483)
         onward = message.copy()
         self._strip_routes(onward)
-        onward.put("Max-Forwards", str(hops - 1))
+        onward.put("Max-Forwards", str(hops_left - 1))
         return onward
 
     def _strip_routes(self, message: Message) -> None:
@@ -661,7 +704,7 @@
                 return
             message.pop_first("Route")
 
-    def _is_own(self, message: Message) -> bool:
+    def _is_addressed_here(self, message: Message) -> bool:
         if message.has("Route"):
             return False
         uri = parse_uri(message.uri)
@@ -673,94 +716,98 @@
             raise BadMessageError("Max-Forwards is not a number up to 255", 400, message)
         return int(text)
 
-    # --- lists and circuits ------------------------------------------------------------------------------
+    # --- subscriptions: exchange list and trunk groups ---------------------------------------------------
 
-    def _subscribe(self, now: int, sub: Subscriber, ask: Ask) -> None:
-        """Carry out what `Watching` asked for."""
-        if ask == Ask.NOTHING:
+    def _perform_action(self, now: int, subscriber: Subscriber, action: SubscribeAction) -> None:
+        """Carry out what the subscription's state machine returned."""
+        if action == SubscribeAction.NOTHING:
             return
-        if ask == Ask.FAILED:
-            self.log.warning("subscription-failed", event_package=sub.event)
+        if action == SubscribeAction.FAILED:
+            self.log.warning("subscription-failed", event_package=subscriber.event)
             self._count("subscriptions failed")
-            if sub.event == LIST:
+            if subscriber.event == LIST_EVENT:
                 self.controller.list_failed(now)
             else:
-                sub.again_at = now + SECOND
+                subscriber.retry_at = now + SECOND
             return
-        hop = self._notifier(sub)
+        hop = self._notifier_hop(subscriber)
         if hop is None:
             return
-        if ask == Ask.FIRST:
-            sub.call_id, sub.tag, sub.to, sub.cseq = self.fresh(16), self.fresh(8), "", 0
-        sub.cseq += 1
-        uri = f"sip:{sub.event}@{hop.host}:{hop.port}"
+        if action == SubscribeAction.SUBSCRIBE:
+            subscriber.call_id, subscriber.tag, subscriber.to, subscriber.cseq = self.random_text(16), self.random_text(8), "", 0
+        subscriber.cseq += 1
+        uri = f"sip:{subscriber.event}@{hop.host}:{hop.port}"
         message = Message("SUBSCRIBE", uri)
         message.fields = [
-            ("From", f"<{self.uri}>;tag={sub.tag}"),
-            ("To", sub.to or f"<{uri}>"),
-            ("Call-ID", sub.call_id),
-            ("CSeq", f"{sub.cseq} SUBSCRIBE"),
+            ("From", f"<{self.uri}>;tag={subscriber.tag}"),
+            ("To", subscriber.to or f"<{uri}>"),
+            ("Call-ID", subscriber.call_id),
+            ("CSeq", f"{subscriber.cseq} SUBSCRIBE"),
             ("Max-Forwards", "70"),
             ("Contact", f"<{self.uri}>"),
-            ("Event", sub.event),
-            ("Expires", str(sub.watching.lasts // SECOND)),
+            ("Event", subscriber.event),
+            ("Expires", str(subscriber.subscription.duration // SECOND)),
             ("Accept", "application/json"),
         ]
-        sub.client = self.transactions.request(now, message, hop, self._branch(), sub)
+        subscriber.client = self.transactions.request(now, message, hop, self._branch(), subscriber)
 
-    def _notifier(self, sub: Subscriber) -> Hop | None:
-        if sub.event == LIST:
-            return None if self.list_at is None else Hop("UDP", *self.list_at)
-        ex = self.controller.by_number.get(self.here)
-        hop = self.hops[ex.gw] if ex is not None else None
+    def _notifier_hop(self, subscriber: Subscriber) -> Hop | None:
+        if subscriber.event == LIST_EVENT:
+            return None if self.list_address is None else Hop("UDP", *self.list_address)
+        exchange = self.controller.by_number.get(self.own_exchange)
+        hop = self.hops[exchange.gw] if exchange is not None else None
         return None if hop is None else Hop("UDP", hop.host, hop.port)
 
-    def _subscribe_answered(self, now: int, sub: Subscriber, client: ClientTransaction, message: Message) -> None:
-        if client is not sub.client:
+    def _handle_subscribe_response(self, now: int, subscriber: Subscriber, client: ClientTransaction, message: Message) -> None:
+        if client is not subscriber.client:
             return
         if message.status >= 300:
-            self._subscribe(now, sub, sub.watching.refused(now))
+            self._perform_action(now, subscriber, subscriber.subscription.ended(now))
             return
         try:
-            lasts = parse_seconds(message, "Expires", sub.watching.lasts // SECOND) * SECOND
+            duration = parse_seconds(message, "Expires", subscriber.subscription.duration // SECOND) * SECOND
         except BadMessageError:
-            lasts = sub.watching.lasts
-        sub.to = message.get("To")
-        sub.watching.granted(now, min(lasts, sub.watching.lasts))
+            duration = subscriber.subscription.duration
+        subscriber.to = message.get("To")
+        subscriber.subscription.granted(now, min(duration, subscriber.subscription.duration))
 
-    def _notified(self, now: int, server: ServerTransaction, message: Message) -> None:
-        sub = self.subscribers.get(message.get("Event").partition(";")[0].strip())
-        if sub is None:
+    def _handle_notify(self, now: int, server: ServerTransaction, message: Message) -> None:
+        subscriber = self.subscribers.get(message.get("Event").partition(";")[0].strip())
+        if subscriber is None:
             self._answer(now, server, 489)
             return
-        if message.call_id != sub.call_id or tag_of(message.get("To")) != sub.tag:
-            self._answer(now, server, 481)  # of a subscription given up
+        if message.call_id != subscriber.call_id or tag_of(message.get("To")) != subscriber.tag:
+            self._answer(now, server, 481)  # of an abandoned subscription
             return
         try:
-            body = (LIST_BODY if sub.event == LIST else GROUPS_BODY).decode(message.body) if message.body else None
+            body = (
+                (LIST_DECODER if subscriber.event == LIST_EVENT else GROUPS_DECODER).decode(message.body) if message.body else None
+            )
         except (msgspec.DecodeError, RecursionError) as error:
-            self._answer(now, server, 400, [("Warning", f'399 {self.domain} "{_plain(str(error))}"')])
+            self._answer(now, server, 400, [("Warning", f'399 {self.domain} "{_quotable(str(error))}"')])
             return
         self._answer(now, server, 200)
         if body is not None:
-            use = sub.watching.notified(now, Body(body.epoch, body.version, body.state == "full"))
-            if use == Use.TAKE:
-                if sub.event == LIST:
-                    self._list_told(now, body)
+            use = subscriber.subscription.notified(now, StateVersion(body.epoch, body.version, body.state == "full"))
+            if use == NotificationUse.APPLY:
+                if subscriber.event == LIST_EVENT:
+                    self._apply_list(now, body)
                 else:
-                    self._groups_told(now, body)
-            elif use == Use.ASK:
-                self.log.info("notification-gap", event_package=sub.event, version=body.version)
+                    self._apply_groups(now, body)
+            elif use == NotificationUse.RESYNC:
+                self.log.info("notification-gap", event_package=subscriber.event, version=body.version)
                 self._count("notification gaps")
-                self._subscribe(now, sub, Ask.REFRESH if sub.to else sub.watching.want(now))
+                self._perform_action(
+                    now, subscriber, SubscribeAction.REFRESH if subscriber.to else subscriber.subscription.start(now)
+                )
         if message.get("Subscription-State").partition(";")[0].strip() == "terminated":
-            self._subscribe(now, sub, sub.watching.refused(now))
+            self._perform_action(now, subscriber, subscriber.subscription.ended(now))
 
-    def _list_told(self, now: int, body: ListBody) -> None:
+    def _apply_list(self, now: int, body: ListBody) -> None:
         entries = []
-        own = self._own_exchange()
+        own = self._own_machine()
         for line in body.exchanges:
-            gw = self._gw(line.id, line.number)
+            gw = self._gw_of(line.id, line.number)
             state = STATES.get(line.state, GwState.GONE)
             hop = self.hops[gw]
             if line.address:
@@ -781,75 +828,78 @@
                         line.number,
                         int(state),
                         line.started,
-                        self._wall(now),
+                        self._wall_time(now),
                         "" if hop is None else f"{hop.host}:{hop.port}",
                         "UDP" if hop is None else hop.transport,
                     ),
                 )
-            entries.append(ListEntry(gw, line.number, state, self._start(now, gw, line.started)))
+            entries.append(ListEntry(gw, line.number, state, self._local_start(now, gw, line.started)))
         self.controller.list_pushed(now, entries, body.state == "full")
-        self._settle(now)
-        for gw, number in enumerate(self.numbers):  # a machine that took a number over has its groups too
+        self._report_ended_legs(now)
+        for gw, number in enumerate(self.exchange_numbers):  # a new machine of an exchange has the same trunk groups
             free, size = self.circuits.count(number)
             if size >= 0:
                 self.controller.group_told(now, gw, free, size)
-        if self._own_exchange() != own:  # a machine that has just started knows of no subscription
-            groups = self.subscribers[GROUPS]
-            self._subscribe(now, groups, groups.watching.want(now))
+        if self._own_machine() != own:  # a restarted machine has lost its subscriptions
+            groups = self.subscribers[GROUPS_EVENT]
+            self._perform_action(now, groups, groups.subscription.start(now))
 
-    def _own_exchange(self) -> tuple[int, int]:
-        ex = self.controller.by_number.get(self.here)
-        return (-1, 0) if ex is None else (ex.gw, ex.started)
+    def _own_machine(self) -> tuple[int, int]:
+        exchange = self.controller.by_number.get(self.own_exchange)
+        return (-1, 0) if exchange is None else (exchange.gw, exchange.started)
 
-    def _start(self, now: int, gw: int, started: float) -> int:
-        """A start by the wall clock as a time here. Converted once: two conversions of one start would differ
-        and look like two starts."""
+    def _local_start(self, now: int, gw: int, started: float) -> int:
+        """A start in wall time as a time of the own clock, 0 if unknown.
+
+        Each start is converted once: two conversions would differ slightly and look like two starts.
+        """
         if started <= 0:
             return 0
-        if (gw, started) not in self.starts:
-            local = self.started_at + int((started - self.wall_at_start) * SECOND)
-            self.starts[gw, started] = max(1, min(local, now))
-        return self.starts[gw, started]
+        if (gw, started) not in self.local_starts:
+            local = self.started_at + int((started - self.wall_time_at_start) * SECOND)
+            self.local_starts[gw, started] = max(1, min(local, now))
+        return self.local_starts[gw, started]
 
-    def _groups_told(self, now: int, body: GroupsBody) -> None:
+    def _apply_groups(self, now: int, body: GroupsBody) -> None:
         for line in body.groups:
-            self._group_told(now, line.number, *self.circuits.update(line.number, line.free, line.size))
+            self._apply_group(now, line.number, *self.circuits.update(line.number, line.free, line.size))
 
-    def _group_told(self, now: int, number: int, free: int, size: int) -> None:
+    def _apply_group(self, now: int, number: int, free: int, size: int) -> None:
         for dialog in self.audit.told(number, free, size):
             self._count("remembered dialogs that were over")
-            self.forget_standing(now, dialog)
-        for gw, held in enumerate(self.numbers):
-            if held == number and gw in self.controller.gws:
+            self.drop_dialog(now, dialog)
+        for gw, exchange_number in enumerate(self.exchange_numbers):
+            if exchange_number == number and gw in self.controller.gws:
                 self.controller.group_told(now, gw, free, size)
 
-    def _told(self, now: int, server: ServerTransaction, message: Message) -> None:
-        """Another proxy's word; one that is too short says nothing."""
+    def _handle_peer_message(self, now: int, server: ServerTransaction, message: Message) -> None:
+        """A message of another proxy; one that is too short is ignored."""
         self._answer(now, server, 200)
         if len(message.body) >= 3:
             self._note("came", crossing(message.call_id), -1)
             self.controller.peer_told(now, message.body)
 
-    # --- memory over restarts --------------------------------------------------------------------------------
+    # --- state kept over restarts ------------------------------------------------------------------------
 
-    def _recall(self, now: int, recalled: Recalled) -> None:
-        """What the process before this one knew: the list's words, what was learned, the dialogs that stand."""
+    def _restore(self, now: int, recalled: Recalled) -> None:
+        """Restore what the previous process stored: the exchange list, learned figures, established dialogs."""
         entries = []
-        for id_, word in recalled.words.items():
-            if word.state == GwState.GONE and id_ not in self.gws:
-                continue  # a machine that came and went: nobody asks for it
-            gw = self._gw(id_, word.number)
+        for exchange_id, word in recalled.words.items():
+            if word.state == GwState.GONE and exchange_id not in self.gw_by_id:
+                continue  # a machine that is not configured and is gone
+            gw = self._gw_of(exchange_id, word.number)
             if word.address:
                 self.hops[gw] = Hop(word.transport, *parse_host_port(word.address))
             state = GwState(word.state) if self.hops[gw] is not None else GwState.GONE
-            entries.append(ListEntry(gw, word.number, state, self._start(now, gw, word.started)))
+            entries.append(ListEntry(gw, word.number, state, self._local_start(now, gw, word.started)))
         self.controller.list_pushed(now, entries, False)
-        gws = [self.gws.get(id_, -1) for id_ in recalled.ids]
+        gws = [self.gw_by_id.get(exchange_id, -1) for exchange_id in recalled.ids]
         learned = recalled.learned._replace(
             now=now,
             exchanges=[
                 known._replace(
-                    gw=gws[known.gw], started=self._start(now, gws[known.gw], recalled.starts.get(recalled.ids[known.gw], 0.0))
+                    gw=gws[known.gw],
+                    started=self._local_start(now, gws[known.gw], recalled.starts.get(recalled.ids[known.gw], 0.0)),
                 )
                 for known in recalled.learned.exchanges
                 if gws[known.gw] >= 0
@@ -857,106 +907,108 @@
             pairs=[pair._replace(gw=gws[pair.gw]) for pair in recalled.learned.pairs if gws[pair.gw] >= 0],
         )
         self.controller.recall(now, learned, recalled.age)
-        for (call_id, tag), kept in recalled.standing.items():
-            self._stands_still(now, (call_id, tag), kept)
+        for (call_id, tag), record in recalled.standing.items():
+            self._restore_dialog(now, (call_id, tag), record)
+
+    def _restore_dialog(self, now: int, key: tuple[str, str], record: KeptStanding) -> None:
+        """Restore a dialog established before this process started.
 
-    def _stands_still(self, now: int, key: tuple[str, str], kept: KeptStanding) -> None:
-        """A dialog that stood before this process began: its requests find their way by their routes; here is known that
-        it stands, over which group, and since when."""
-        arrived = self.started_at + int((kept.since - self.wall_at_start) * SECOND)
+        Its requests are routed by their Route fields; only its trunk group, circuits and start are needed here.
+        """
+        arrived = self.started_at + int((record.since - self.wall_time_at_start) * SECOND)
         call = Call(
-            self.call_count,
-            NoServer(),
+            self.next_call_index,
+            RestoredServer(),
             None,
-            min(kept.kind, len(self.types) - 1),
-            kept.width,
-            kept.far,
+            min(record.kind, len(self.traffic_types) - 1),
+            record.width,
+            record.far,
             key,
-            kept.transit,
+            record.transit,
             False,
             min(arrived, now),
             "",
         )
-        self.call_count += 1
+        self.next_call_index += 1
         self.serial += 1
-        call.leg = Leg(call, self.gws.get(kept.leg, -1), kept.leg_number, 0, self.serial, now)
-        call.leg.tag = kept.to_tag
-        call.legs = 1
-        call.stands = call.answered = True
-        self.calls[call.index] = self.by_key[key] = call
-        self.audit.add(kept.leg_number, kept.since, call.index, kept.width)
+        call.leg = Leg(call, self.gw_by_id.get(record.leg, -1), record.leg_number, 0, self.serial, now)
+        call.leg.tag = record.to_tag
+        call.leg_count = 1
+        call.established = call.answered = True
+        self.calls[call.index] = self.calls_by_key[key] = call
+        self.audit.add(record.leg_number, record.since, call.index, record.width)
         self._count("remembered")
 
-    def learned(self, now: int, most_callers: int) -> None:
-        """Tell the memory what the module knows."""
-        self.memory.learned(self._wall(now), self.controller.learned(now, most_callers), self.ids)
-        self.memory.forgotten(self._wall(now))
+    def save_learned(self, now: int, most_callers: int) -> None:
+        """Store what the decision module has learned, with at most `most_callers` callers."""
+        self.memory.learned(self._wall_time(now), self.controller.learned(now, most_callers), self.exchange_ids)
+        self.memory.forgotten(self._wall_time(now))
 
-    def _wall(self, now: int) -> float:
-        return self.wall_at_start + (now - self.started_at) / SECOND
+    def _wall_time(self, now: int) -> float:
+        return self.wall_time_at_start + (now - self.started_at) / SECOND
 
-    def _pass_back(self, message: Message) -> None:
-        """A response without a transaction goes to where its next Via says (section 16.11)."""
+    def _forward_response(self, message: Message) -> None:
+        """Forward a response without a transaction to the next Via (section 16.11)."""
         message.pop_first("Via")
         try:
             via = top_via(message)
         except BadMessageError:
             return
         port = via.params.get("rport", "")
-        self.wire.transmit(
+        self.transport.transmit(
             bytes(message), Hop(via.transport, via.params.get("received", via.host), int(port) if port.isdigit() else via.port)
         )
 
     # --- background work ----------------------------------------------------------------------------------
 
-    def probe(self, now: int, hop: Hop, told: Callable[[Message | None], None], duty: str) -> None:
-        """OPTIONS to an exchange (RFC 3261 section 11), saying under which token it comes (the field is ours)."""
+    def probe(self, now: int, hop: Hop, on_answer: Callable[[Message | None], None], duty: str) -> None:
+        """Send OPTIONS to an exchange (RFC 3261 section 11) with the duty's fencing token in Gingergap-Duty."""
         self.now = now
         message = Message("OPTIONS", f"sip:{hop.host}:{hop.port}")
         message.fields = [
-            ("From", f"<{self.uri}>;tag={self.fresh(8)}"),
+            ("From", f"<{self.uri}>;tag={self.random_text(8)}"),
             ("To", f"<{message.uri}>"),
-            ("Call-ID", self.fresh(16)),
+            ("Call-ID", self.random_text(16)),
             ("CSeq", "1 OPTIONS"),
             ("Max-Forwards", "10"),
             (DUTY_FIELD, duty),
         ]
         self._count("probes")
-        self.transactions.request(now, message, hop, self._branch(), Asked(told))
+        self.transactions.request(now, message, hop, self._branch(), Probe(on_answer))
 
-    def list_seen_elsewhere(self, now: int, epoch: str, version: int) -> None:
-        """Another proxy holds that version of the list: who is behind asks for it anew."""
-        sub = self.subscribers[LIST]
-        watching = sub.watching
-        if watching.live and watching.epoch == epoch and watching.version < version and not watching.gap:
+    def list_version_seen(self, now: int, epoch: str, version: int) -> None:
+        """Another proxy has this version of the exchange list: request the full list if ours is older."""
+        subscriber = self.subscribers[LIST_EVENT]
+        subscription = subscriber.subscription
+        if subscription.active and subscription.epoch == epoch and subscription.version < version and not subscription.has_gap:
             self._count("list found old")
             self.now = now
-            self._subscribe(now, sub, Ask.REFRESH if sub.to else watching.want(now))
+            self._perform_action(now, subscriber, SubscribeAction.REFRESH if subscriber.to else subscription.start(now))
 
-    def standing_since(self, before: int) -> list[int]:
-        """Dialogs that came before then and still stand."""
-        return [call.index for call in self.calls.values() if call.stands and call.arrived < before]
+    def dialogs_before(self, before: int) -> list[int]:
+        """Established dialogs that arrived before a time."""
+        return [call.index for call in self.calls.values() if call.established and call.arrived_at < before]
 
-    def forget_standing(self, now: int, dialog: int) -> None:
-        """A dialog that stood past any sense counts as ended: nobody told, and nobody will."""
+    def drop_dialog(self, now: int, dialog: int) -> None:
+        """Treat an established dialog as ended although no BYE was received."""
         self.now = now
         call = self.calls.get(dialog)
-        if call is not None and call.stands and call.leg is not None:
+        if call is not None and call.established and call.leg is not None:
             self._count("forgotten")
-            self.soon.append((call.leg, LegEnd.ENDED, 0))
-            self._settle(now)
+            self.ended_legs.append((call.leg, LegEnd.ENDED, 0))
+            self._report_ended_legs(now)
 
-    # --- what the trace is told and the module is not --------------------------------------------------------
+    # --- events for the trace only -----------------------------------------------------------------------
 
-    def ran_late(self, now: int, by: int) -> None:
-        """A timer of the process fired so much after it was due."""
+    def timer_ran_late(self, now: int, by: int) -> None:
+        """A timer of the process fired late, `by` in tenths of a millisecond."""
         self.admission.timer_fired(by)
-        if by >= NOTED_LATE:
+        if by >= MIN_RECORDED_DELAY:
             self.now = now
             self._note("ran_late", by)
 
     def remark(self, now: int, text: str) -> None:
-        """An operator's words, to be found again among what happened."""
+        """Record an operator's remark in the trace."""
         self.now = now
         self._note("remark", text)
 
@@ -964,46 +1016,49 @@
         if self.tape is not None:
             self.tape.note(name, self.now, *fields)
 
-    def _came_by(self, call: Call, message: Message) -> None:
-        """The proxy that sent a dialog here stands first or, behind its tandem, second on the way it came."""
+    def _trace_arrival(self, call: Call, message: Message) -> None:
+        """Record by which legs of other proxies a dialog in transit arrived.
+
+        The proxy that sent it has the first Via or, behind its tandem, the second.
+        """
         for via in [parse_via(value) for value in message.all("Via")[:2]]:
-            call.crossing = crossing(via.branch)
-            self._note("came", call.crossing, call.index)
+            call.trace_id = crossing(via.branch)
+            self._note("came", call.trace_id, call.index)
 
-    # --- small parts -------------------------------------------------------------------------------------
+    # --- helpers -----------------------------------------------------------------------------------------
 
-    def _gw(self, name: str, number: int) -> int:
-        gw = self.gws.get(name)
+    def _gw_of(self, name: str, number: int) -> int:
+        gw = self.gw_by_id.get(name)
         if gw is None:
-            gw = self.gws[name] = len(self.ids)
-            self.ids.append(name)
-            self.numbers.append(number)
+            gw = self.gw_by_id[name] = len(self.exchange_ids)
+            self.exchange_ids.append(name)
+            self.exchange_numbers.append(number)
             self.hops.append(None)
-        self.numbers[gw] = number
+        self.exchange_numbers[gw] = number
         return gw
 
     def _answer(self, now: int, server: ServerTransaction, status: int, fields: list[tuple[str, str]] | None = None) -> None:
         if server.request is not None:
-            self.transactions.respond(now, server, response(server.request, status, self._still_tag(server.request), fields or ()))
+            self.transactions.respond(now, server, response(server.request, status, self._stable_tag(server.request), fields or ()))
 
-    def _still_tag(self, message: Message) -> str:
-        """A tag that is the same for the same request, with nothing kept (section 8.2.7)."""
-        text = f"{message.get('Via')} {message.call_id} {self.boot}"
+    def _stable_tag(self, message: Message) -> str:
+        """A tag derived from the request, so that a stateless response is always the same (section 8.2.7)."""
+        text = f"{message.get('Via')} {message.call_id} {self.run_id}"
         return blake2s(text.encode("utf-8", "replace"), digest_size=6).hexdigest()
 
     def _branch(self) -> str:
         self.serial += 1
-        return f"{MAGIC_COOKIE}{self.boot}{self.serial:x}"
+        return f"{MAGIC_COOKIE}{self.run_id}{self.serial:x}"
 
     def _send_stateless(self, message: Message, branch: str) -> None:
         hop = next_hop(message)
         message.push("Via", f"SIP/2.0/{hop.transport} {self.address[0]}:{self.address[1]};branch={branch};rport")
-        self.wire.transmit(bytes(message), hop)
+        self.transport.transmit(bytes(message), hop)
 
     def _count(self, what: str) -> None:
         self.counts[what] = self.counts.get(what, 0) + 1
 
 
-def _plain(text: str) -> str:
-    """Text fit for a quoted string of a header field."""
+def _quotable(text: str) -> str:
+    """Text without characters that need quoting in a header field, at most 120 characters."""
     return "".join(char if 32 <= ord(char) < 127 and char not in '"\\' else " " for char in text)[:120]
--- a/gingergap/edge/remembering.py
+++ b/gingergap/edge/proxy_store.py
@@ -27,7 +27,7 @@
         return ""
 
 
-class Remembering:
+class ProxyStore:
     """`folder` is the store's. Spans in seconds. `apart` runs a function away from the event loop and returns its result."""
 
     def __init__(
@@ -121,7 +121,7 @@
     # --- tasks ---
 
     def learn(self) -> bool:
-        self.proxy.learned(self.clock(), self.most_callers)
+        self.proxy.save_learned(self.clock(), self.most_callers)
         for duty, counter in self.counters().items():
             self.memory.token(duty, counter)
         return True
--- a/gingergap/edge/serve.py
+++ b/gingergap/edge/serve.py
@@ -1,4 +1,4 @@
-"""The edge as a process: settings to a proxy, sockets, the monotonic clock, signals, and an orderly end."""
+"""The signalling proxy as a process: settings, sockets, the monotonic clock, signals and an orderly shutdown."""
 
 import secrets
 import signal
@@ -25,39 +25,40 @@
 from .coordination import Coordination, LocalWork
 from .numbering import NumberingPlan
 from .proxy import EdgeProxy
-from .remembering import Remembering
+from .proxy_store import ProxyStore
 
-TICK = 0.005  # seconds between looks at what is due
-UNIT = 10_000  # tenths of a millisecond in a second
-MOST_REMARK = 500  # characters
-LATE = 500  # 50 ms behind: the process no longer keeps up
+TICK_SECONDS = 0.005
+UNITS_PER_SECOND = 10_000  # tenths of a millisecond in a second
+MAX_REMARK_LENGTH = 500  # characters
+MAX_LAG = 500  # 50 ms; a process whose timers run later than this is overloaded
 
 
 def clock() -> int:
-    """Now, in tenths of a millisecond, by the machine's monotonic clock."""
+    """The time of the monotonic clock in tenths of a millisecond."""
     return time.monotonic_ns() // 100_000
 
 
-def units(ms: float) -> int:
+def to_units(ms: float) -> int:
+    """Milliseconds as whole tenths of a millisecond."""
     return round(ms * 10)
 
 
 def build_proxy(
     form: EdgeForm,
-    wire: Any,
+    transport: Any,
     log: Any,
     now: int,
-    wall: float,
-    fresh: Any,
+    wall_time: float,
+    random_text: Any,
     tape: Tape | None = None,
     memory: Memory | None = None,
     recalled: Recalled | None = None,
 ) -> EdgeProxy:
-    """The proxy that a settings file describes."""
-    types = [
+    """Build the proxy that the settings describe; the other arguments are those of `EdgeProxy`."""
+    traffic_types = [
         TrafficType(
-            units(entry.setup_objective_ms),
-            units(entry.no_answer_time_ms),
+            to_units(entry.setup_objective_ms),
+            to_units(entry.no_answer_time_ms),
             entry.late_share,
             entry.importance,
             entry.repeatable,
@@ -65,35 +66,35 @@
         )
         for entry in form.traffic_type
     ]
-    kinds = {value.lower(): place for place, entry in enumerate(form.traffic_type) for value in entry.resource_priority}
+    types_by_priority = {value.lower(): index for index, entry in enumerate(form.traffic_type) for value in entry.resource_priority}
     return EdgeProxy(
-        wire,
+        transport,
         now,
-        wall,
-        fresh,
+        wall_time,
+        random_text,
         log,
         address=parse_host_port(form.listen),
         domain=form.domain,
-        here=form.here,
+        own_exchange=form.here,
         seed=form.seed,
         exchanges=[(entry.number, entry.id, parse_host_port(entry.address)) for entry in form.exchange],
         exchange_list=parse_host_port(form.exchange_list) if form.exchange_list else None,
-        types=types,
-        kinds=kinds,
-        widths=[entry.circuits for entry in form.traffic_type],
+        traffic_types=traffic_types,
+        types_by_priority=types_by_priority,
+        circuits_by_type=[entry.circuits for entry in form.traffic_type],
         numbering=NumberingPlan({prefix: entry.number for entry in form.exchange for prefix in entry.prefix}),
-        admission=AdmissionControl(form.bounds.dialogs, LATE, [entry.importance for entry in form.traffic_type]),
+        admission=AdmissionControl(form.bounds.dialogs, MAX_LAG, [entry.importance for entry in form.traffic_type]),
         default_expires=form.default_expires_s,
-        most_transactions=form.bounds.transactions,
-        t1=units(form.t1_ms),
-        release_guard=units(form.release_guard_ms) + 1,
-        most_legs=form.most_legs,
-        longest_hold_off=units(form.longest_hold_off_ms),
-        tells=form.tell_peers,
+        max_transactions=form.bounds.transactions,
+        t1=to_units(form.t1_ms),
+        release_guard=to_units(form.release_guard_ms) + 1,
+        max_legs=form.most_legs,
+        max_hold_off=to_units(form.longest_hold_off_ms),
+        tells_peers=form.tell_peers,
         cold_from=form.cold.from_share,
-        warm_after=units(form.cold.warm_after_ms) + 1,
+        warm_after=to_units(form.cold.warm_after_ms) + 1,
         multiple=form.cold.multiple,
-        fall_span=units(form.cold.span_ms) + 1,
+        fall_span=to_units(form.cold.span_ms) + 1,
         tape=tape,
         memory=memory,
         recalled=recalled,
@@ -101,7 +102,7 @@
 
 
 class EdgeProcess:
-    """One running edge. `run` returns the exit code once it has drained."""
+    """One running proxy process."""
 
     def __init__(self, form: EdgeForm, log: Any) -> None:
         self.form, self.log = form, log.bind(edge=form.name)
@@ -109,19 +110,20 @@
             self, parse_host_port(form.listen), most_queued=form.bounds.queued_bytes, most_connections=form.bounds.connections
         )
         self.proxy: EdgeProxy | None = None
-        self.over = Event()
-        self.drained_by: float | None = None
+        self.drain_complete = Event()
+        self.drain_deadline: float | None = None
         self.work: LocalWork | None = None
         self.coordination: Coordination | None = None
         self.control: ControlServer | None = None
         self.tape = Tape()
         self.recorder: Recorder | None = None
         self.spans: Any = None
-        self.store: Remembering | None = None
-        self.figures: Any = None
-        self.busy = 0.0  # the part of the time that calls take, of late
+        self.store: ProxyStore | None = None
+        self.metrics: Any = None
+        self.load = 0.0  # smoothed share of CPU time in use, 0 to 1
 
     def run(self) -> int:
+        """Serve until drained and return the exit code: 0, or 2 if a socket, path or address could not be opened."""
         try:
             self.sockets.open()
         except OSError as error:
@@ -139,16 +141,16 @@
             None if self.store is None else self.store.memory,
             recalled,
         )
-        for number in (signal.SIGTERM, signal.SIGINT):
-            gevent.signal_handler(number, self.drain)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            gevent.signal_handler(signal_number, self.drain)
         self.log.info("serving", listen=self.form.listen, here=self.form.here)
         self.work = LocalWork(
             self.proxy,
             clock,
             self.log,
-            lambda: self.busy,
-            budget=self.form.background_ms_per_s,
-            longest_dialog=round(self.form.longest_dialog_s * UNIT),
+            lambda: self.load,
+            budget_bytes=self.form.background_ms_per_s,
+            longest_dialog=round(self.form.longest_dialog_s * UNITS_PER_SECOND),
         )
         try:
             self._open_coordination({} if recalled is None else recalled.tokens)
@@ -169,7 +171,7 @@
             self.sockets.close()
             return 2
         ticker = gevent.spawn(self._tick)
-        self.over.wait()
+        self.drain_complete.wait()
         ticker.kill()
         if self.coordination is not None:
             self.coordination.close()
@@ -190,7 +192,7 @@
         form = self.form.store
         if form is None:
             return None
-        self.store = Remembering(
+        self.store = ProxyStore(
             Path(form.folder),
             self.form.name,
             self.log,
@@ -199,7 +201,7 @@
             longest_dialog=self.form.longest_dialog_s,
             most_callers=form.most_callers,
             caller_lasts=max(entry.no_answer_time_ms for entry in self.form.traffic_type) / 1000,
-            apart=self._apart,
+            apart=self._run_in_thread,
         )
         recalled = self.store.open()
         if self.store.book is None:
@@ -207,31 +209,31 @@
         return recalled
 
     @staticmethod
-    def _apart(run: Any, *args: Any) -> Any:
-        """In a thread, while other greenlets go on."""
+    def _run_in_thread(run: Any, *args: Any) -> Any:
+        """Run a function in a thread, while other greenlets continue."""
         return gevent.get_hub().threadpool.apply(run, args)
 
     def _open_coordination(self, tokens: dict[str, int]) -> None:
         form = self.form.coordination
         if form is None:
             return
-        everybody = {entry.name: entry.address for entry in form.member}
-        listens = {entry.name: entry.listen or entry.address for entry in form.member}
+        addresses = {entry.name: entry.address for entry in form.member}
+        listen_addresses = {entry.name: entry.listen or entry.address for entry in form.member}
         self.coordination = Coordination(
             self.proxy,
             self.work,
             clock,
             self.log,
             name=self.form.name,
-            address=everybody[self.form.name],
-            listen=listens[self.form.name],
+            address=addresses[self.form.name],
+            listen=listen_addresses[self.form.name],
             key=form.key.encode(),
-            everybody=everybody,
+            addresses=addresses,
             weight=form.weight,
-            period=units(form.period_ms),
-            lasts=units(form.lease_ms),
-            probe_every=units(form.probe_every_ms),
-            probe_limit=units(form.probe_limit_ms),
+            period=to_units(form.period_ms),
+            lasts=to_units(form.lease_ms),
+            probe_every=to_units(form.probe_every_ms),
+            probe_limit=to_units(form.probe_limit_ms),
             tokens=tokens,
         )
         self.coordination.open()
@@ -250,28 +252,30 @@
             module_digest(),
             secrets.token_hex(4),
             self.form.name,
-            self.proxy.wall_at_start,
+            self.proxy.wall_time_at_start,
             self.proxy.started_at,
-            self.proxy.figures,
+            self.proxy.controller_arguments,
         )
-        folder, part, budget = Path(form.folder), round(form.part_mb * 2**20), round(form.budget_mb * 2**20)
+        folder, part_bytes, budget_bytes = Path(form.folder), round(form.part_mb * 2**20), round(form.budget_mb * 2**20)
         self.tape.switch(form.recording)
 
         source = Source(header.module, header.epoch, header.instance, header.wall, header.started, header.figures)
-        told: list[Any] = []
+        span_consumers: list[Any] = []
         if form.metrics:
-            from ..metrics.calls import CallFigures  # its library and that of spans take longer to load than all the rest
+            from ..metrics.calls import (
+                CallFigures,
+            )  # imported here: the libraries of metrics and spans take longer to load than all the rest
 
-            self.figures = CallFigures([entry.name for entry in self.form.traffic_type])
-            told.append(self.figures.over)
+            self.metrics = CallFigures([entry.name for entry in self.form.traffic_type])
+            span_consumers.append(self.metrics.over)
         if form.spans_slower_ms is not None:
             from ..spans.live import LiveSpans
 
-            self.spans = LiveSpans(folder, source, units(form.spans_slower_ms))
-            told.append(self.spans.over)
-        stories = LiveStories(source, self.log, told)
+            self.spans = LiveSpans(folder, source, to_units(form.spans_slower_ms))
+            span_consumers.append(self.spans.over)
+        stories = LiveStories(source, self.log, span_consumers)
 
-        def seen(records: list[list[Any]], name: str) -> None:
+        def records_written(records: list[list[Any]], name: str) -> None:
             if self.spans is not None:
                 self.spans.file(name, stories.stories.place)
             stories.take(records)
@@ -281,99 +285,101 @@
             self.tape,
             header,
             self.log,
-            part=part,
-            lasts=round(form.part_s * UNIT),
+            part=part_bytes,
+            lasts=round(form.part_s * UNITS_PER_SECOND),
             clock=clock,
-            apart=self._apart,
-            seen=seen if told else None,
+            apart=self._run_in_thread,
+            seen=records_written if span_consumers else None,
         )
         self.recorder.open()
         self.work.add_sweep(
             "trace budget",
-            lambda: self._apart(keep_budget, folder, self.form.name, budget, part, self.log) >= 0,
-            period=10 * UNIT,
-            limit=60 * UNIT,
+            lambda: self._run_in_thread(keep_budget, folder, self.form.name, budget_bytes, part_bytes, self.log) >= 0,
+            period=10 * UNITS_PER_SECOND,
+            limit=60 * UNITS_PER_SECOND,
         )
 
     def drain(self) -> None:
-        """No new dialogs; those that stand may finish until the limit."""
-        if self.drained_by is None:
+        """Admit no new dialogs; established ones may finish until the drain limit."""
+        if self.drain_deadline is None:
             if self.coordination is not None:
                 self.coordination.leave()
-            self.drained_by = time.monotonic() + self.form.drain_limit_s
+            self.drain_deadline = time.monotonic() + self.form.drain_limit_s
             self.proxy.admission.draining = True
             self.log.info("draining", dialogs=len(self.proxy.calls), limit_s=self.form.drain_limit_s)
 
     def _tick(self) -> None:
-        ticks = 0
-        cpu, at = time.process_time(), time.monotonic()
+        tick_count = 0
+        cpu_start, wall_start = time.process_time(), time.monotonic()
         while True:
-            before = clock()
-            gevent.sleep(TICK)
+            previous = clock()
+            gevent.sleep(TICK_SECONDS)
             now = clock()
-            ticks += 1
-            if ticks % 10 == 0:
-                cpu_now, at_now = time.process_time(), time.monotonic()
-                self.busy = 0.7 * self.busy + 0.3 * min(1.0, (cpu_now - cpu) / max(1e-6, at_now - at))
-                cpu, at = cpu_now, at_now
+            tick_count += 1
+            if tick_count % 10 == 0:
+                cpu_end, wall_end = time.process_time(), time.monotonic()
+                self.load = 0.7 * self.load + 0.3 * min(1.0, (cpu_end - cpu_start) / max(1e-6, wall_end - wall_start))
+                cpu_start, wall_start = cpu_end, wall_end
                 self.work.runner.step()
-            self.proxy.ran_late(now, max(0, now - before - int(TICK * UNIT)))
+            self.proxy.timer_ran_late(now, max(0, now - previous - int(TICK_SECONDS * UNITS_PER_SECOND)))
             self._guarded(self.proxy.due, now)
-            if self.drained_by is not None and (not self.proxy.calls or time.monotonic() >= self.drained_by):
+            if self.drain_deadline is not None and (not self.proxy.calls or time.monotonic() >= self.drain_deadline):
                 if self.proxy.calls:
                     self.log.warning("drain-limit-passed", dialogs=len(self.proxy.calls))
-                gevent.sleep(10 * TICK)
-                self.over.set()
+                gevent.sleep(10 * TICK_SECONDS)
+                self.drain_complete.set()
 
-    # --- what the control socket asks ---
+    # --- questions of the control socket ---
 
-    def answer_question(self, what: str) -> Any:
-        """Tables for operators; raises KeyError for what there is not."""
-        joined = self.coordination
-        match what:
+    def answer_question(self, question: str) -> Any:
+        """Answer a question of the control socket. Raises KeyError with a message if it can't be answered."""
+        coordination = self.coordination
+        match question:
             case "members":
-                return joined.members_table() if joined is not None else []
+                return coordination.members_table() if coordination is not None else []
             case "duties":
-                return joined.duties_table() if joined is not None else []
+                return coordination.duties_table() if coordination is not None else []
             case "learned":
-                return joined.learned_table() if joined is not None else []
+                return coordination.learned_table() if coordination is not None else []
             case "leave":
-                if joined is None:
+                if coordination is None:
                     raise KeyError("this proxy does not coordinate")
-                joined.leave()
+                coordination.leave()
                 return "left"
             case "trace":
-                return self._traced().figures()
+                return self._require_recorder().figures()
             case "store":
                 if self.store is None:
                     raise KeyError("this proxy has no (store ...) in its settings, or could not open it")
                 return self.store.figures()
             case "metrics":
-                if self.figures is None:
+                if self.metrics is None:
                     raise KeyError("this proxy has no (metrics true) in its (trace ...)")
-                return self.figures.text()
+                return self.metrics.text()
             case "trace on" | "trace off":
-                self._traced()
-                self.tape.switch(what == "trace on")
+                self._require_recorder()
+                self.tape.switch(question == "trace on")
                 self.log.info("trace-switched", on=self.tape.on)
                 return self.recorder.figures()
-            case _ if what.startswith("remark "):
-                self._traced()
-                self.proxy.remark(clock(), what.removeprefix("remark ")[:MOST_REMARK])
+            case _ if question.startswith("remark "):
+                self._require_recorder()
+                self.proxy.remark(clock(), question.removeprefix("remark ")[:MAX_REMARK_LENGTH])
                 return "noted"
             case "exchanges":
                 return self._exchanges()
             case "counts":
                 return {
                     "name": self.form.name,
-                    "busy": round(self.busy, 3),
+                    "busy": round(self.load, 3),
                     "open": self.proxy.open_dialogs,
                     "dialogs": len(self.proxy.calls),
-                    "uptime_s": round((clock() - self.proxy.started_at) / UNIT, 1),
+                    "uptime_s": round((clock() - self.proxy.started_at) / UNITS_PER_SECOND, 1),
                     "counts": dict(self.proxy.counts),
-                    "coordinates": joined is not None,
-                    "datagrams": dict(joined.datagrams.counts, sent=joined.datagrams.sent, bytes=joined.datagrams.sent_bytes)
-                    if joined is not None
+                    "coordinates": coordination is not None,
+                    "datagrams": dict(
+                        coordination.datagrams.counts, sent=coordination.datagrams.sent, bytes=coordination.datagrams.sent_bytes
+                    )
+                    if coordination is not None
                     else {},
                     "tasks": [
                         {
@@ -386,29 +392,29 @@
                         for task in self.work.plan.tasks.values()
                     ],
                 }
-        raise KeyError(f"nothing is called {what!r}")
+        raise KeyError(f"nothing is called {question!r}")
 
-    def _traced(self) -> Recorder:
+    def _require_recorder(self) -> Recorder:
         if self.recorder is None:
             raise KeyError("this proxy has no (trace ...) in its settings")
         return self.recorder
 
     def _exchanges(self) -> list[dict[str, Any]]:
         now, rows = clock(), []
-        for gw, name in enumerate(self.proxy.ids):
-            ex = self.proxy.controller.gws.get(gw)
-            if ex is not None:
+        for gw, name in enumerate(self.proxy.exchange_ids):
+            exchange = self.proxy.controller.gws.get(gw)
+            if exchange is not None:
                 rows.append(
                     {
                         "exchange": name,
-                        "number": ex.number,
-                        "ready": ex.ready,
-                        "free": ex.group.free,
-                        "circuits": ex.group.size,
-                        "expected_ms": ex.expected(now) / 10,
-                        "legs_out": len(ex.out),
-                        "cold": now < ex.cold_until,
-                        "pressed": now < ex.pressed_until,
+                        "number": exchange.number,
+                        "ready": exchange.ready,
+                        "free": exchange.group.free,
+                        "circuits": exchange.group.size,
+                        "expected_ms": exchange.expected(now) / 10,
+                        "legs_out": len(exchange.out),
+                        "cold": now < exchange.cold_until,
+                        "pressed": now < exchange.pressed_until,
                     }
                 )
         return rows
@@ -423,7 +429,7 @@
         self._guarded(self.proxy.hop_failed, clock(), hop, reset)
 
     def _guarded(self, method: Any, *args: Any) -> None:
-        """One event that fails must not end the reader that brought it: the rest of the calls go on."""
+        """Handle one event; an exception is logged and must not end the greenlet that delivers events."""
         try:
             method(*args)
         except Exception:
--- a/gingergap/edge/sip_mapping.py
+++ b/gingergap/edge/sip_mapping.py
@@ -1,8 +1,8 @@
-"""SIP's words and the module's, one table each way (docs/edge.md shows the same table).
+"""Maps SIP statuses, causes and header fields to the terms of the decision module and back (see docs/edge.md).
 
-Statuses and causes: RFC 3261, RFC 3326 with the causes of Q.850, RFC 8606 for where a cause arose. What no
-standard has (dialled again, cut and comes again, in transit, time left in ms) stands in one field of our own:
-`Gingergap-Dialog: transit;time-left=2310;redialled`.
+Statuses follow RFC 3261, Reason RFC 3326 with the causes of Q.850, the location of a cause RFC 8606. What no standard
+covers (a redialled dialog, one set up again after it was cut, transit, the time left in ms) is in a header field of this
+system: `Gingergap-Dialog: transit;time-left=2310;redialled`.
 """
 
 import math
@@ -12,14 +12,14 @@
 from ..sip.fields import parse_params, parse_seconds, q850_cause_of, q850_reason
 from ..sip.message import BadMessageError, Message
 
-NO_CIRCUIT, CONGESTION, USER_BUSY, REJECTED, NORMAL, OUT_OF_ORDER, TIMER = 34, 42, 17, 21, 16, 38, 102
-TANDEM, BEYOND = "TN", "RLN"  # RFC 8606: transit network; remote local network
+NO_CIRCUIT, CONGESTION, USER_BUSY, REJECTED, NORMAL, OUT_OF_ORDER, TIMER = 34, 42, 17, 21, 16, 38, 102  # Q.850 causes
+TRANSIT_NETWORK, REMOTE_LOCAL_NETWORK = "TN", "RLN"  # RFC 8606
 CUT_CAUSES = frozenset({27, 38, 41})  # destination out of order, network out of order, temporary failure
 DIALOG_FIELD = "Gingergap-Dialog"
 
 
-class Marks(NamedTuple):
-    """What a request says of its dialog; `time_left` in ms, -1 where it does not say."""
+class DialogParams(NamedTuple):
+    """The parameters of Gingergap-Dialog in a request; `time_left` in ms, -1 if not given."""
 
     redialled: bool
     cut: bool
@@ -27,52 +27,55 @@
     time_left: int
 
 
-def marks_of(message: Message) -> Marks:
-    """Raises BadMessageError for a time left that is no number."""
+def parse_dialog_params(message: Message) -> DialogParams:
+    """Parse Gingergap-Dialog. Raises BadMessageError if time-left is not a number."""
     text = message.get(DIALOG_FIELD)
     if not text:
-        return Marks(False, False, False, -1)
+        return DialogParams(False, False, False, -1)
     params = parse_params(text)
-    left = params.get("time-left", "-1")
-    if left != "-1" and not (left.isascii() and left.isdigit() and len(left) < 10):
+    time_left_text = params.get("time-left", "-1")
+    if time_left_text != "-1" and not (time_left_text.isascii() and time_left_text.isdigit() and len(time_left_text) < 10):
         raise BadMessageError(f"{DIALOG_FIELD} has a time-left that is no number", 400, message)
-    return Marks("redialled" in params, "cut" in params, "transit" in params, int(left))
+    return DialogParams("redialled" in params, "cut" in params, "transit" in params, int(time_left_text))
 
 
-def marks(redialled: bool, cut: bool, transit: bool, time_left: int) -> str:
-    """The field's value, `time_left` in ms."""
-    parts = [name for name, on in (("redialled", redialled), ("cut", cut), ("transit", transit)) if on]
+def format_dialog_params(redialled: bool, cut: bool, transit: bool, time_left: int) -> str:
+    """The value of Gingergap-Dialog, `time_left` in ms."""
+    parts = [name for name, is_set in (("redialled", redialled), ("cut", cut), ("transit", transit)) if is_set]
     return ";".join([*parts, f"time-left={time_left}"])
 
 
-def leg_end(message: Message, over_tandem: bool) -> tuple[LegEnd, Rsn]:
-    """What a final failure response to a leg means."""
-    cause, where = q850_cause_of(message)
+def leg_end_of(message: Message, over_tandem: bool) -> tuple[LegEnd, Rsn]:
+    """How a leg ended according to its failure response, and the reason."""
+    cause, location = q850_cause_of(message)
     status = message.status
     if status in (486, 600) or cause == USER_BUSY:
         return LegEnd.BUSY, Rsn.LINES_BUSY
-    if status in (408, 487, 504):  # nobody knows what the leg still holds
+    if status in (408, 487, 504):  # it is unknown which circuits the leg still holds
         return LegEnd.NO_ANSWER, Rsn.NONE
     if cause == NO_CIRCUIT:
         return LegEnd.FULL, Rsn.NO_CIRCUIT
     if cause == REJECTED and over_tandem:
         return LegEnd.FULL, Rsn.TANDEM_DECLINED
-    if cause == CONGESTION and over_tandem and where == BEYOND:
+    if cause == CONGESTION and over_tandem and location == REMOTE_LOCAL_NETWORK:
         return LegEnd.FULL, Rsn.BEYOND_TANDEM_FULL
     if cause == CONGESTION or status == 503:
         return LegEnd.FULL, Rsn.PROCESSOR_FULL
     return LegEnd.BUSY, Rsn.NONE if 500 <= status < 600 else Rsn.NO_WAY
 
 
-def declined(transit: bool, how: LegEnd | None, rsn: int, hold_off: int) -> tuple[int, list[tuple[str, str]]]:
-    """Status and fields of a dialog declined after a last leg that ended so (none: no leg). `hold_off` in tenths of
-    a millisecond; SIP has whole seconds, and a caller asked to stay away is not let back early."""
-    if how == LegEnd.BUSY:
+def decline_response(transit: bool, leg_end: LegEnd | None, rsn: int, hold_off: int) -> tuple[int, list[tuple[str, str]]]:
+    """Status and header fields of the response to a declined dialog.
+
+    `leg_end` and `rsn` are those of its last leg, `leg_end` is None if there was none. `hold_off`, in tenths of a
+    millisecond, is rounded up to the whole seconds of Retry-After, so that the caller does not retry early.
+    """
+    if leg_end == LegEnd.BUSY:
         return (486, [q850_reason(USER_BUSY)]) if rsn == Rsn.LINES_BUSY else (480, [q850_reason(41)])
     fields = [
-        q850_reason(CONGESTION, BEYOND if transit else "")
+        q850_reason(CONGESTION, REMOTE_LOCAL_NETWORK if transit else "")
         if rsn in (Rsn.PROCESSOR_FULL, Rsn.BEYOND_TANDEM_FULL)
-        else q850_reason(REJECTED, TANDEM)
+        else q850_reason(REJECTED, TRANSIT_NETWORK)
         if transit
         else q850_reason(NO_CIRCUIT)
     ]
@@ -81,26 +84,30 @@
     return 503, fields
 
 
-def aborted() -> tuple[int, list[tuple[str, str]]]:
+def abort_response() -> tuple[int, list[tuple[str, str]]]:
+    """Status and header fields of the response to an aborted dialog."""
     return 408, [q850_reason(TIMER)]
 
 
-def release_end(message: Message) -> LegEnd:
-    """Whether a BYE ends a dialog as it should, or tells that it was cut."""
+def release_end_of(message: Message) -> LegEnd:
+    """Whether a BYE ends a dialog normally or reports that it was cut."""
     return LegEnd.CUT if q850_cause_of(message)[0] in CUT_CAUSES else LegEnd.ENDED
 
 
-def time_left(message: Message, told: Marks, default_s: int) -> int:
-    """Tenths of a millisecond until the caller gives up: the finer mark where a proxy gave one, else Expires."""
-    if told.time_left >= 0:
-        return told.time_left * 10
+def caller_time_left(message: Message, dialog_params: DialogParams, default_s: int) -> int:
+    """Tenths of a millisecond until the caller gives up: time-left of a proxy if given, else Expires.
+
+    `default_s` in seconds if there is neither. Raises BadMessageError.
+    """
+    if dialog_params.time_left >= 0:
+        return dialog_params.time_left * 10
     return parse_seconds(message, "Expires", default_s) * 10_000
 
 
-def kind_of(message: Message, kinds: dict[str, int]) -> int:
-    """The traffic type by Resource-Priority (RFC 4412): the first value that is known, else the first type."""
+def traffic_type_of(message: Message, types_by_priority: dict[str, int]) -> int:
+    """The index of the traffic type by the first known value of Resource-Priority (RFC 4412), else 0."""
     for value in message.all("Resource-Priority"):
-        kind = kinds.get(value.lower())
-        if kind is not None:
-            return kind
+        traffic_type = types_by_priority.get(value.lower())
+        if traffic_type is not None:
+            return traffic_type
     return 0
--- a/gingergap/edge/subscriptions.py
+++ b/gingergap/edge/subscriptions.py
@@ -1,105 +1,107 @@
-"""Keeping a subscription (RFC 6665): when to ask, what of a notification may be used, when it has failed.
+"""The subscriber's state machine (RFC 6665): when to subscribe, which notifications to apply, when it has failed.
 
-The state comes in versions. `full` replaces all, `partial` builds on the version before; a gap, a partial of
-another epoch or a list that falls silent is mended by asking for the full state. No I/O, no clock: times are
-handed in, in tenths of a millisecond, and what is to be done is returned.
+Notified state is versioned. Full state replaces everything, partial state builds on the previous version; after a gap
+or partial state of another epoch the full state is requested. No I/O, no clock: methods take the current time in
+tenths of a millisecond and return what is to be done.
 """
 
 from enum import IntEnum
 from typing import NamedTuple
 
 
-class Use(IntEnum):
-    """What to do with a notification's body."""
+class NotificationUse(IntEnum):
+    """What to do with the state in a notification."""
 
-    TAKE = 0
-    OLD = 1  # overtaken by one that was used already
-    ASK = 2  # something is missing: ask for the full state
+    APPLY = 0
+    STALE = 1  # ignore: newer state was applied already, or the full state was requested
+    RESYNC = 2  # a version is missing: request the full state
 
 
-class Ask(IntEnum):
-    """What is to be sent now."""
+class SubscribeAction(IntEnum):
+    """What the subscriber has to do now."""
 
     NOTHING = 0
-    FIRST = 1  # a SUBSCRIBE outside any dialog
-    REFRESH = 2
-    FAILED = 3  # tell that there is no subscription; a new one is asked for by `want`
+    SUBSCRIBE = 1  # a SUBSCRIBE outside any dialog
+    REFRESH = 2  # a SUBSCRIBE within the dialog
+    FAILED = 3  # report that the subscription has ended; `start` begins a new one
 
 
-class Body(NamedTuple):
-    """The frame of a notification. A new epoch means that the notifier started anew."""
+class StateVersion(NamedTuple):
+    """The version of the state in a notification. The epoch changes when the notifier restarts."""
 
     epoch: str
     version: int
     full: bool
 
 
-class Watching:
-    """One subscription. `lasts` is asked for; `patience` is how long an answer to a SUBSCRIBE or the full state
-    after it may take before the subscription counts as failed."""
+class Subscription:
+    """One subscription.
 
-    def __init__(self, lasts: int, patience: int) -> None:
-        self.lasts, self.patience = lasts, patience
+    `duration` is the requested duration; `timeout` limits the wait for the response to a SUBSCRIBE and for the full
+    state after it. Both in tenths of a millisecond.
+    """
+
+    def __init__(self, duration: int, timeout: int) -> None:
+        self.duration, self.timeout = duration, timeout
         self.wanted = False
-        self.live = False
-        self.asked_at: int | None = None
+        self.active = False
+        self.requested_at: int | None = None
         self.refresh_at = 0
-        self.ends_at = 0
+        self.expires_at = 0
         self.epoch, self.version = "", -1
-        self.gap = False
-        self.gap_asked_at = 0
-
-    def want(self, now: int) -> Ask:
-        """A new subscription is wanted, whatever was before."""
-        self.wanted, self.live, self.gap = True, False, False
-        self.asked_at = now
-        return Ask.FIRST
-
-    def granted(self, now: int, lasts: int) -> None:
-        """A 2xx to SUBSCRIBE: refreshed at half its time (RFC 6665 leaves when to the subscriber)."""
-        self.live = True
-        self.refresh_at = now + lasts // 2
-        self.ends_at = now + lasts
-
-    def refused(self, now: int) -> Ask:
-        """An error, a time-out or an end told by the notifier: nothing more will come."""
+        self.has_gap = False
+        self.resync_requested_at = 0
+
+    def start(self, now: int) -> SubscribeAction:
+        """Begin a new subscription, whatever the state of the current one."""
+        self.wanted, self.active, self.has_gap = True, False, False
+        self.requested_at = now
+        return SubscribeAction.SUBSCRIBE
+
+    def granted(self, now: int, duration: int) -> None:
+        """A 2xx to SUBSCRIBE. It is refreshed after half of the duration (RFC 6665 leaves that to the subscriber)."""
+        self.active = True
+        self.refresh_at = now + duration // 2
+        self.expires_at = now + duration
+
+    def ended(self, now: int) -> SubscribeAction:
+        """The subscription ended by an error, a time-out or the notifier."""
         if not self.wanted:
-            return Ask.NOTHING
-        self.wanted = self.live = self.gap = False
-        self.asked_at = None
-        return Ask.FAILED
-
-    def notified(self, now: int, body: Body) -> Use:
-        """A notification came. Its full state is taken whatever its order, unless it is older than what is held
-        of the same epoch."""
-        if body.full:
-            if body.epoch == self.epoch and body.version < self.version:
-                return Use.OLD
-            self.epoch, self.version = body.epoch, body.version
-            self.asked_at, self.gap = None, False
-            return Use.TAKE
-        if body.epoch == self.epoch:
-            if body.version <= self.version:
-                return Use.OLD
-            if body.version == self.version + 1 and not self.gap:
-                self.version = body.version
-                return Use.TAKE
-        if self.gap and now - self.gap_asked_at < self.patience // 4:
-            return Use.OLD  # asked for already; what comes meanwhile is in the answer
-        self.gap, self.gap_asked_at = True, now
-        return Use.ASK
-
-    def due(self, now: int) -> Ask:
-        """What is to be done as time passes."""
+            return SubscribeAction.NOTHING
+        self.wanted = self.active = self.has_gap = False
+        self.requested_at = None
+        return SubscribeAction.FAILED
+
+    def notified(self, now: int, state: StateVersion) -> NotificationUse:
+        """A notification was received. Full state is applied unless it is older than the current one of its epoch."""
+        if state.full:
+            if state.epoch == self.epoch and state.version < self.version:
+                return NotificationUse.STALE
+            self.epoch, self.version = state.epoch, state.version
+            self.requested_at, self.has_gap = None, False
+            return NotificationUse.APPLY
+        if state.epoch == self.epoch:
+            if state.version <= self.version:
+                return NotificationUse.STALE
+            if state.version == self.version + 1 and not self.has_gap:
+                self.version = state.version
+                return NotificationUse.APPLY
+        if self.has_gap and now - self.resync_requested_at < self.timeout // 4:
+            return NotificationUse.STALE  # requested already; the full state will include this change
+        self.has_gap, self.resync_requested_at = True, now
+        return NotificationUse.RESYNC
+
+    def next_action(self, now: int) -> SubscribeAction:
+        """What has to be done at this time."""
         if not self.wanted:
-            return Ask.NOTHING
-        if self.asked_at is not None and now - self.asked_at > self.patience:
-            return self.refused(now)  # asked, and neither answer nor state came
-        if self.live and now >= self.ends_at:
-            return self.refused(now)  # silent for its whole time, refreshes too
-        if self.live and now >= self.refresh_at:
-            # The answer sets the next time; until it comes, ask again at a quarter of what is left.
-            self.refresh_at = now + max(self.patience, (self.ends_at - now) // 4)
-            self.asked_at = now if self.asked_at is None else self.asked_at
-            return Ask.REFRESH
-        return Ask.NOTHING
+            return SubscribeAction.NOTHING
+        if self.requested_at is not None and now - self.requested_at > self.timeout:
+            return self.ended(now)  # neither a response nor the full state arrived
+        if self.active and now >= self.expires_at:
+            return self.ended(now)  # no response to any refresh
+        if self.active and now >= self.refresh_at:
+            # The response sets the next refresh; until then the refresh is repeated at a quarter of the remaining time.
+            self.refresh_at = now + max(self.timeout, (self.expires_at - now) // 4)
+            self.requested_at = now if self.requested_at is None else self.requested_at
+            return SubscribeAction.REFRESH
+        return SubscribeAction.NOTHING
--- a/tests/test_edge_parts.py
+++ b/tests/test_edge_parts.py
@@ -8,7 +8,7 @@
 from gingergap.edge.admission import AdmissionControl
 from gingergap.edge.circuits import DOUBT_DURATION, CircuitCounts
 from gingergap.edge.numbering import NumberingPlan
-from gingergap.edge.subscriptions import Ask, Body, Use, Watching
+from gingergap.edge.subscriptions import NotificationUse, StateVersion, SubscribeAction, Subscription
 from gingergap.host import LegEnd, Rsn
 from gingergap.sip.message import BadMessageError, Message
 
@@ -19,37 +19,37 @@
 
 
 def test_a_subscription_that_falls_silent_fails_and_is_asked_for_anew():
-    watching = Watching(20 * SECOND, 2 * SECOND)
-    assert watching.want(0) == Ask.FIRST
-    watching.granted(10, 20 * SECOND)
-    assert watching.notified(20, Body("e", 1, True)) == Use.TAKE
-    assert watching.due(9 * SECOND) == Ask.NOTHING
-    assert watching.due(10 * SECOND + 10) == Ask.REFRESH
-    asked = [watching.due(now) for now in range(10 * SECOND + 20, 40 * SECOND, 100)]
-    assert asked.count(Ask.FAILED) == 1 and asked[-1] == Ask.NOTHING
-    assert watching.want(41 * SECOND) == Ask.FIRST
+    subscription = Subscription(20 * SECOND, 2 * SECOND)
+    assert subscription.start(0) == SubscribeAction.SUBSCRIBE
+    subscription.granted(10, 20 * SECOND)
+    assert subscription.notified(20, StateVersion("e", 1, True)) == NotificationUse.APPLY
+    assert subscription.next_action(9 * SECOND) == SubscribeAction.NOTHING
+    assert subscription.next_action(10 * SECOND + 10) == SubscribeAction.REFRESH
+    asked = [subscription.next_action(now) for now in range(10 * SECOND + 20, 40 * SECOND, 100)]
+    assert asked.count(SubscribeAction.FAILED) == 1 and asked[-1] == SubscribeAction.NOTHING
+    assert subscription.start(41 * SECOND) == SubscribeAction.SUBSCRIBE
 
 
 def test_a_subscription_that_nobody_grants_fails():
-    watching = Watching(20 * SECOND, 2 * SECOND)
-    watching.want(0)
-    assert [watching.due(now) for now in (10, 2 * SECOND, 2 * SECOND + 10)] == [Ask.NOTHING, Ask.NOTHING, Ask.FAILED]
-    assert watching.refused(3 * SECOND) == Ask.NOTHING
+    subscription = Subscription(20 * SECOND, 2 * SECOND)
+    subscription.start(0)
+    assert [subscription.next_action(now) for now in (10, 2 * SECOND, 2 * SECOND + 10)] == [SubscribeAction.NOTHING, SubscribeAction.NOTHING, SubscribeAction.FAILED]
+    assert subscription.ended(3 * SECOND) == SubscribeAction.NOTHING
 
 
 def test_a_refresh_that_is_answered_goes_on_for_ever():
-    watching = Watching(20 * SECOND, 2 * SECOND)
-    watching.want(0)
-    watching.granted(0, 20 * SECOND)
-    watching.notified(0, Body("e", 1, True))
+    subscription = Subscription(20 * SECOND, 2 * SECOND)
+    subscription.start(0)
+    subscription.granted(0, 20 * SECOND)
+    subscription.notified(0, StateVersion("e", 1, True))
     refreshes = 0
     for now in range(0, 200 * SECOND, 100):
-        ask = watching.due(now)
-        assert ask != Ask.FAILED
-        if ask == Ask.REFRESH:
+        ask = subscription.next_action(now)
+        assert ask != SubscribeAction.FAILED
+        if ask == SubscribeAction.REFRESH:
             refreshes += 1
-            watching.granted(now, 20 * SECOND)
-            watching.notified(now, Body("e", 1, True))
+            subscription.granted(now, 20 * SECOND)
+            subscription.notified(now, StateVersion("e", 1, True))
     assert 18 <= refreshes <= 21
 
 
@@ -61,21 +61,21 @@
 def test_whatever_is_lost_or_late_the_state_ends_up_right(changes, draw):
     """A notifier of six values over a network that loses, repeats and reorders; the subscriber asks for the full
     state when told to, and in the end holds what the notifier holds."""
-    watching = Watching(20 * SECOND, 2 * SECOND)
-    watching.want(0)
+    subscription = Subscription(20 * SECOND, 2 * SECOND)
+    subscription.start(0)
     held, truth = {}, dict.fromkeys(range(6), 0)
     epoch, version, on_the_way, now = 0, 0, [], 0
 
     def full():
-        return Body(str(epoch), version, True), dict(truth)
+        return StateVersion(str(epoch), version, True), dict(truth)
 
     def arrive(body, values):
-        use = watching.notified(now, body)
-        if use == Use.TAKE:
+        use = subscription.notified(now, body)
+        if use == NotificationUse.APPLY:
             if body.full:
                 held.clear()
             held.update(values)
-        elif use == Use.ASK:
+        elif use == NotificationUse.RESYNC:
             on_the_way.append(full())
 
     arrive(*full())
@@ -85,7 +85,7 @@
             epoch, version = epoch + 1, 0
         truth[key] += 1
         version += 1
-        news = Body(str(epoch), version, False), {key: truth[key]}
+        news = StateVersion(str(epoch), version, False), {key: truth[key]}
         if fate != "lose":
             on_the_way += [news, news] if fate == "twice" else [news]
         if fate != "late":
@@ -107,7 +107,7 @@
     assert [m.get("Event") for m in peers.new("SUBSCRIBE")] == ["exchange-list"]
     assert peers.proxy.controller.by_number[1].ready  # not used: something is missing before it
     peers.tell_list(3, [("x0", "ready", 0), ("x1", "gone", 0), ("x2", "draining", 0)], "full")
-    states = {name: peers.proxy.controller.gws[peers.proxy.gws[name]].ready for name in ("x1", "x2", "x3")}
+    states = {name: peers.proxy.controller.gws[peers.proxy.gw_by_id[name]].ready for name in ("x1", "x2", "x3")}
     assert states == {"x1": False, "x2": False, "x3": False}
     peers.tell_list(2, [("x1", "ready", 0)])
     assert not peers.proxy.controller.by_number[1].ready  # overtaken
@@ -139,7 +139,7 @@
         },
     )
     ex = peers.proxy.controller.by_number[1]
-    assert peers.proxy.ids[ex.gw] == "new" and (ex.group.free, ex.group.size) == (20, 20)
+    assert peers.proxy.exchange_ids[ex.gw] == "new" and (ex.group.free, ex.group.size) == (20, 20)
     invite = peers.invite()
     assert [hop.port for _, hop in peers.legs(invite.call_id)] == [7201]
 
@@ -270,28 +270,28 @@
     ],
 )
 def test_what_an_answer_means(status, fields, over_tandem, end):
-    assert sip_mapping.leg_end(Message(status=status, fields=fields), over_tandem) == end
+    assert sip_mapping.leg_end_of(Message(status=status, fields=fields), over_tandem) == end
 
 
 @pytest.mark.parametrize("how", [None, *LegEnd])
 @pytest.mark.parametrize("rsn", list(Rsn))
 def test_a_tandems_refusal_is_never_read_as_doubt(how, rsn):
-    status, fields = sip_mapping.declined(True, how, rsn, 0)
-    end, _ = sip_mapping.leg_end(Message(status=status, fields=fields), True)
+    status, fields = sip_mapping.decline_response(True, how, rsn, 0)
+    end, _ = sip_mapping.leg_end_of(Message(status=status, fields=fields), True)
     assert end in (LegEnd.FULL, LegEnd.BUSY)
 
 
 def test_a_hold_off_is_never_shorter_in_whole_seconds():
-    _, fields = sip_mapping.declined(False, None, 0, 15_001)
+    _, fields = sip_mapping.decline_response(False, None, 0, 15_001)
     assert ("Retry-After", "2") in fields
 
 
 def test_marks_go_there_and_back():
-    message = Message(fields=[(sip_mapping.DIALOG_FIELD, sip_mapping.marks(True, True, True, 2310))])
-    assert sip_mapping.marks_of(message) == sip_mapping.Marks(True, True, True, 2310)
-    assert sip_mapping.marks_of(Message()) == sip_mapping.Marks(False, False, False, -1)
+    message = Message(fields=[(sip_mapping.DIALOG_FIELD, sip_mapping.format_dialog_params(True, True, True, 2310))])
+    assert sip_mapping.parse_dialog_params(message) == sip_mapping.DialogParams(True, True, True, 2310)
+    assert sip_mapping.parse_dialog_params(Message()) == sip_mapping.DialogParams(False, False, False, -1)
     with pytest.raises(BadMessageError):
-        sip_mapping.marks_of(Message(fields=[(sip_mapping.DIALOG_FIELD, "transit;time-left=x")]))
+        sip_mapping.parse_dialog_params(Message(fields=[(sip_mapping.DIALOG_FIELD, "transit;time-left=x")]))
 
 
 def test_short_messages_reach_those_that_are_ready_and_no_others(peers_of):
--- a/tests/test_edge_proxy.py
+++ b/tests/test_edge_proxy.py
@@ -18,7 +18,7 @@
     peers.answer((leg, hop), 200)
     assert peers.finals(invite.call_id) == [200]
     (call,) = peers.proxy.calls.values()
-    assert call.stands and peers.proxy.open_dialogs == 0
+    assert call.established and peers.proxy.open_dialogs == 0
     peers.within("ACK", invite.call_id, number=1)
     assert peers.all("ACK", port=7101)
     bye = peers.within("BYE", invite.call_id)
@@ -26,7 +26,7 @@
     assert passed.call_id == bye.call_id and not passed.has("Route")
     peers.answer((passed, Hop("UDP", "127.0.0.1", 7101)), 200, contact=False)
     assert [m.cseq()[1] for m, hop in peers.sent if m.status == 200 and hop.port == 9000] == ["INVITE", "BYE"]
-    assert not peers.proxy.calls and not peers.proxy.by_key and not peers.proxy.controller.dialogs
+    assert not peers.proxy.calls and not peers.proxy.calls_by_key and not peers.proxy.controller.dialogs
 
 
 def test_a_retransmitted_invite_after_the_leg_timed_out_gets_the_same_answer_and_no_leg(peers):
@@ -402,7 +402,7 @@
             peers.cancel(invite)
     peers.pass_time(1_000_000)
     proxy = peers.proxy
-    assert not proxy.calls and not proxy.by_key and not proxy.controller.dialogs and not proxy.released
+    assert not proxy.calls and not proxy.calls_by_key and not proxy.controller.dialogs and not proxy.released_answers
     assert not [key for key in proxy.transactions.servers if key[2] == "INVITE"]
     assert not [key for key in proxy.transactions.clients if key[1] in ("INVITE", "CANCEL", "BYE")]
     assert proxy.open_dialogs == 0
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -427,7 +427,7 @@
     def killed(self, after=2.0):
         """Another proxy, `after` seconds later, with what this one had written."""
         wall = 1_000_000.0 + self.now / SECOND
-        self.proxy.learned(self.now, 100)
+        self.proxy.save_learned(self.now, 100)
         book = filled(self.folder, self.memory.batch(KeptAlive(wall, self.now / SECOND, "b", "p0", 0.0)))
         found = read(book, wall + after, self.now / SECOND + after)
         book.close()
@@ -525,10 +525,10 @@
     leg = peers.legs(invite.call_id)[0]
     peers.pass_time(peers.now + 4_000)
     peers.answer(leg, 200)
-    slow = peers.proxy.controller.gws[peers.proxy.gws["x2"]]
+    slow = peers.proxy.controller.gws[peers.proxy.gw_by_id["x2"]]
     assert slow.took > 0
     again = peers.killed(after=0.5)
-    known = again.proxy.controller.gws[again.proxy.gws["x2"]]
+    known = again.proxy.controller.gws[again.proxy.gw_by_id["x2"]]
     assert known.took == slow.took and known.expected(again.now) < slow.expected(peers.now)
     assert known.group.size == 20
 
--- a/tests/test_spans.py
+++ b/tests/test_spans.py
@@ -257,9 +257,9 @@
 
 def test_doors_lateness_and_remarks_are_noted(taped):
     peers, tape = taped
-    peers.proxy.ran_late(5_000, 80)
-    peers.proxy.ran_late(5_100, 900)
-    peers.proxy.ran_late(5_200, 30_000)
+    peers.proxy.timer_ran_late(5_000, 80)
+    peers.proxy.timer_ran_late(5_100, 900)
+    peers.proxy.timer_ran_late(5_200, 30_000)
     assert notes(tape, "ran_late") == [[5_100, 900], [5_200, 30_000]]
     invite = peers.invite("001555")
     assert peers.finals(invite.call_id) == [503] and notes(tape, "turned_away")[0][1] == 0
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -49,7 +49,7 @@
         peers.pass_time(peers.now + 400)
     peers.tell_list(1, [("x0", "ready", 0), ("x1", "draining", 0), ("x2", "ready", 0)], "full")
     peers.pass_time(peers.now + 30_000)
-    return tape, Header(FORMAT, module_digest(), "e1", "p0", 0.0, 0, peers.proxy.figures)
+    return tape, Header(FORMAT, module_digest(), "e1", "p0", 0.0, 0, peers.proxy.controller_arguments)
 
 
 def replayed(header, records, module=brain):
