--- a/tests/test_edge_parts.py
+++ b/tests/test_edge_parts.py
@@ -1,4 +1,4 @@
-"""Parts of the proxy that decide or count for themselves: subscriptions, circuits, the door, numbers, words."""
+"""Parts of the proxy without I/O: subscriptions, circuit counts, admission control, numbering plan, SIP mapping."""
 
 import pytest
 from hypothesis import given, settings
@@ -18,35 +18,39 @@
 # --- subscriptions ---
 
 
-def test_a_subscription_that_falls_silent_fails_and_is_asked_for_anew():
+def test_a_subscription_without_responses_fails_and_can_be_started_again():
     subscription = Subscription(20 * SECOND, 2 * SECOND)
     assert subscription.start(0) == SubscribeAction.SUBSCRIBE
     subscription.granted(10, 20 * SECOND)
     assert subscription.notified(20, StateVersion("e", 1, True)) == NotificationUse.APPLY
     assert subscription.next_action(9 * SECOND) == SubscribeAction.NOTHING
     assert subscription.next_action(10 * SECOND + 10) == SubscribeAction.REFRESH
-    asked = [subscription.next_action(now) for now in range(10 * SECOND + 20, 40 * SECOND, 100)]
-    assert asked.count(SubscribeAction.FAILED) == 1 and asked[-1] == SubscribeAction.NOTHING
+    actions = [subscription.next_action(now) for now in range(10 * SECOND + 20, 40 * SECOND, 100)]
+    assert actions.count(SubscribeAction.FAILED) == 1 and actions[-1] == SubscribeAction.NOTHING
     assert subscription.start(41 * SECOND) == SubscribeAction.SUBSCRIBE
 
 
-def test_a_subscription_that_nobody_grants_fails():
+def test_a_subscription_that_is_never_granted_fails():
     subscription = Subscription(20 * SECOND, 2 * SECOND)
     subscription.start(0)
-    assert [subscription.next_action(now) for now in (10, 2 * SECOND, 2 * SECOND + 10)] == [SubscribeAction.NOTHING, SubscribeAction.NOTHING, SubscribeAction.FAILED]
+    assert [subscription.next_action(now) for now in (10, 2 * SECOND, 2 * SECOND + 10)] == [
+        SubscribeAction.NOTHING,
+        SubscribeAction.NOTHING,
+        SubscribeAction.FAILED,
+    ]
     assert subscription.ended(3 * SECOND) == SubscribeAction.NOTHING
 
 
-def test_a_refresh_that_is_answered_goes_on_for_ever():
+def test_a_subscription_stays_active_while_its_refreshes_are_answered():
     subscription = Subscription(20 * SECOND, 2 * SECOND)
     subscription.start(0)
     subscription.granted(0, 20 * SECOND)
     subscription.notified(0, StateVersion("e", 1, True))
     refreshes = 0
     for now in range(0, 200 * SECOND, 100):
-        ask = subscription.next_action(now)
-        assert ask != SubscribeAction.FAILED
-        if ask == SubscribeAction.REFRESH:
+        action = subscription.next_action(now)
+        assert action != SubscribeAction.FAILED
+        if action == SubscribeAction.REFRESH:
             refreshes += 1
             subscription.granted(now, 20 * SECOND)
             subscription.notified(now, StateVersion("e", 1, True))
@@ -58,73 +62,73 @@
     st.randoms(use_true_random=False),
 )
 @settings(max_examples=200, derandomize=True, deadline=None)
-def test_whatever_is_lost_or_late_the_state_ends_up_right(changes, draw):
-    """A notifier of six values over a network that loses, repeats and reorders; the subscriber asks for the full
-    state when told to, and in the end holds what the notifier holds."""
+def test_the_state_converges_under_loss_duplication_and_reordering(changes, rng):
+    """A notifier of six values over a network that loses, duplicates and reorders; the subscriber requests the full
+    state when it has to, and in the end has the state of the notifier."""
     subscription = Subscription(20 * SECOND, 2 * SECOND)
     subscription.start(0)
-    held, truth = {}, dict.fromkeys(range(6), 0)
-    epoch, version, on_the_way, now = 0, 0, [], 0
+    subscriber_state, notifier_state = {}, dict.fromkeys(range(6), 0)
+    epoch, version, in_flight, now = 0, 0, [], 0
 
     def full():
-        return StateVersion(str(epoch), version, True), dict(truth)
+        return StateVersion(str(epoch), version, True), dict(notifier_state)
 
     def arrive(body, values):
         use = subscription.notified(now, body)
         if use == NotificationUse.APPLY:
             if body.full:
-                held.clear()
-            held.update(values)
+                subscriber_state.clear()
+            subscriber_state.update(values)
         elif use == NotificationUse.RESYNC:
-            on_the_way.append(full())
+            in_flight.append(full())
 
     arrive(*full())
     for key, fate in changes:
         now += SECOND
         if fate == "restart":
             epoch, version = epoch + 1, 0
-        truth[key] += 1
+        notifier_state[key] += 1
         version += 1
-        news = StateVersion(str(epoch), version, False), {key: truth[key]}
+        update = StateVersion(str(epoch), version, False), {key: notifier_state[key]}
         if fate != "lose":
-            on_the_way += [news, news] if fate == "twice" else [news]
+            in_flight += [update, update] if fate == "twice" else [update]
         if fate != "late":
-            draw.shuffle(on_the_way)
-            while on_the_way:
-                arrive(*on_the_way.pop())
-    while on_the_way:
+            rng.shuffle(in_flight)
+            while in_flight:
+                arrive(*in_flight.pop())
+    while in_flight:
         now += SECOND
-        arrive(*on_the_way.pop())
+        arrive(*in_flight.pop())
     now += SECOND
     arrive(*full())  # the next refresh
-    assert held == truth
+    assert subscriber_state == notifier_state
 
 
-def test_a_list_with_a_gap_is_asked_for_and_mended(peers):
+def test_a_version_gap_in_the_list_is_resynchronised(peers):
     peers.tell_list(1, [("x0", "ready", 0), ("x1", "ready", 0), ("x2", "ready", 0), ("x3", "ready", 0)], "full")
     peers.new()
     peers.tell_list(3, [("x1", "gone", 0)])
     assert [m.get("Event") for m in peers.new("SUBSCRIBE")] == ["exchange-list"]
-    assert peers.proxy.controller.by_number[1].ready  # not used: something is missing before it
+    assert peers.proxy.controller.by_number[1].ready  # not applied: version 2 is missing
     peers.tell_list(3, [("x0", "ready", 0), ("x1", "gone", 0), ("x2", "draining", 0)], "full")
     states = {name: peers.proxy.controller.gws[peers.proxy.gw_by_id[name]].ready for name in ("x1", "x2", "x3")}
     assert states == {"x1": False, "x2": False, "x3": False}
     peers.tell_list(2, [("x1", "ready", 0)])
-    assert not peers.proxy.controller.by_number[1].ready  # overtaken
+    assert not peers.proxy.controller.by_number[1].ready  # stale
 
 
-def test_one_start_told_twice_is_one_start(peers):
+def test_the_same_start_time_notified_twice_is_one_start(peers):
     peers.tell_list(1, [("x1", "ready", 1_000_001.5)], "full")
-    ex = peers.proxy.controller.by_number[1]
-    first = ex.started
+    exchange = peers.proxy.controller.by_number[1]
+    first = exchange.started
     peers.pass_time(30_000)
     peers.tell_list(2, [("x1", "ready", 1_000_001.5)])
-    assert ex.started == first > 0
+    assert exchange.started == first > 0
     peers.tell_list(3, [("x1", "ready", 1_000_002.75)])
-    assert ex.started > first
+    assert exchange.started > first
 
 
-def test_a_machine_that_takes_a_number_over_has_its_group(peers):
+def test_a_new_machine_of_an_exchange_gets_the_exchanges_trunk_group(peers):
     peers.tell_list(1, [("x1", "ready", 0), ("x2", "ready", 0), ("x0", "ready", 0)], "full")
     peers.notify(
         "exchange-list",
@@ -138,13 +142,13 @@
             ],
         },
     )
-    ex = peers.proxy.controller.by_number[1]
-    assert peers.proxy.exchange_ids[ex.gw] == "new" and (ex.group.free, ex.group.size) == (20, 20)
+    exchange = peers.proxy.controller.by_number[1]
+    assert peers.proxy.exchange_ids[exchange.gw] == "new" and (exchange.group.free, exchange.group.size) == (20, 20)
     invite = peers.invite()
     assert [hop.port for _, hop in peers.legs(invite.call_id)] == [7201]
 
 
-def test_a_new_start_of_the_own_exchange_is_subscribed_to_again(peers):
+def test_a_restart_of_the_own_exchange_renews_the_group_subscription(peers):
     peers.tell_list(1, [("x0", "ready", 0)], "full")
     peers.new()
     peers.tell_list(2, [("x0", "ready", 1_000_000.0)])
@@ -154,15 +158,15 @@
 @pytest.mark.parametrize(
     "body", [b"", b"{", b"[]", b'{"version":"x"}', b'{"version":1,"state":"full","epoch":"e"}', b"\xff\xfe", b"[" * 5000]
 )
-def test_a_notification_that_is_no_list_is_refused_and_the_old_one_kept(peers, body):
+def test_an_invalid_list_notification_is_rejected_and_the_old_list_kept(peers, body):
     before = dict(peers.proxy.controller.by_number)
-    sub = peers.proxy.subscribers["exchange-list"]
+    subscriber = peers.proxy.subscribers["exchange-list"]
     message = Message("NOTIFY", "sip:127.0.0.1:7000", body=body)
     message.fields = [
         ("Via", "SIP/2.0/UDP 127.0.0.1:9000;branch=z9hG4bKbody"),
         ("From", "<sip:n>;tag=n"),
-        ("To", f"<sip:p>;tag={sub.tag}"),
-        ("Call-ID", sub.call_id),
+        ("To", f"<sip:p>;tag={subscriber.tag}"),
+        ("Call-ID", subscriber.call_id),
         ("CSeq", "1 NOTIFY"),
         ("Event", "exchange-list"),
         ("Subscription-State", "active"),
@@ -172,18 +176,18 @@
     assert peers.proxy.controller.by_number == before
 
 
-def test_the_list_is_asked_for_again_after_it_fell_silent(peers):
+def test_the_list_is_subscribed_to_again_after_it_became_silent(peers):
     peers.tell_list(1, [("x0", "ready", 0), ("x1", "ready", 0)], "full")
     peers.pass_time(100 * SECOND)
     lists = [m for m in peers.all("SUBSCRIBE") if m.get("Event") == "exchange-list"]
     assert len({m.call_id for m in lists}) > 2
-    assert peers.proxy.controller.by_number[1].ready  # what it last knew still serves
+    assert peers.proxy.controller.by_number[1].ready  # the last known list stays in use
 
 
-# --- circuits, door, numbers, words ---
+# --- circuit counts, admission control, numbering plan, SIP mapping ---
 
 
-def test_a_leg_that_the_exchange_has_not_seen_is_not_free():
+def test_circuits_of_a_leg_not_yet_counted_are_not_free():
     circuits = CircuitCounts()
     assert circuits.count(1) == (-1, -1)
     circuits.leg_sent(1, 7, 2)
@@ -192,7 +196,7 @@
     assert circuits.count(1) == (5, 10)
 
 
-def test_a_turned_back_leg_is_believed_for_a_while():
+def test_a_refusal_bounds_the_free_count_until_it_expires_or_a_count_arrives():
     circuits = CircuitCounts()
     circuits.update(1, 5, 10)
     circuits.group_refused(100, 1, 2)
@@ -205,14 +209,14 @@
 
 @given(st.lists(st.tuples(st.sampled_from(["told", "sent", "over", "back"]), st.integers(0, 4), st.integers(0, 12)), max_size=40))
 @settings(derandomize=True, deadline=None)
-def test_a_count_is_never_under_nothing_nor_over_the_size(events):
+def test_the_free_count_stays_between_zero_and_the_size(events):
     circuits = CircuitCounts()
-    for what, leg, number in events:
-        if what == "told":
+    for event, leg, number in events:
+        if event == "told":
             circuits.update(1, number, 10)
-        elif what == "sent":
+        elif event == "sent":
             circuits.leg_sent(1, leg, 1 + number % 3)
-        elif what == "over":
+        elif event == "over":
             circuits.leg_reported(1, leg)
         else:
             circuits.group_refused(0, 1, 1 + number % 3)
@@ -220,13 +224,13 @@
         assert (free, size) == (-1, -1) or 0 <= free <= size
 
 
-def test_a_full_house_keeps_its_last_room_for_what_is_worth_most():
+def test_the_last_capacity_is_kept_for_the_most_important_traffic():
     admission = AdmissionControl(100, 500, [1.0, 3.0])
     assert (admission.retry_after(0, 89), admission.retry_after(0, 90)) == (0, 1)
     assert (admission.retry_after(1, 99), admission.retry_after(1, 100)) == (0, 1)
 
 
-def test_a_process_that_falls_behind_sends_away_cheap_traffic_first_and_recovers():
+def test_a_late_process_rejects_the_least_important_traffic_first_and_recovers():
     admission = AdmissionControl(100, 500, [1.0, 3.0])
     admission.timer_fired(1_000)
     assert admission.retry_after(0, 0) and not admission.retry_after(1, 0)
@@ -237,7 +241,7 @@
     assert not admission.retry_after(0, 0) and not admission.retry_after(1, 0)
 
 
-def test_a_draining_door_is_shut_to_all():
+def test_a_draining_proxy_admits_no_dialog():
     admission = AdmissionControl(100, 500, [1.0])
     admission.draining = True
     assert admission.retry_after(0, 0) > 0
@@ -247,7 +251,7 @@
     ("number", "exchange"),
     [("0115550100", 1), ("0125550100", 2), ("+0115550100", 1), ("0", -1), ("", -1), ("0119", 3), ("01-15", 1)],
 )
-def test_the_longest_prefix_leads(number, exchange):
+def test_the_longest_matching_prefix_selects_the_exchange(number, exchange):
     assert NumberingPlan({"011": 1, "012": 2, "0119": 3}).exchange_of(number) == exchange
 
 
@@ -269,24 +273,24 @@
         (500, [], False, (LegEnd.BUSY, Rsn.NONE)),
     ],
 )
-def test_what_an_answer_means(status, fields, over_tandem, end):
+def test_the_leg_end_that_a_failure_response_means(status, fields, over_tandem, end):
     assert sip_mapping.leg_end_of(Message(status=status, fields=fields), over_tandem) == end
 
 
-@pytest.mark.parametrize("how", [None, *LegEnd])
+@pytest.mark.parametrize("leg_end", [None, *LegEnd])
 @pytest.mark.parametrize("rsn", list(Rsn))
-def test_a_tandems_refusal_is_never_read_as_doubt(how, rsn):
-    status, fields = sip_mapping.decline_response(True, how, rsn, 0)
+def test_a_decline_by_a_tandem_never_leaves_the_leg_in_doubt(leg_end, rsn):
+    status, fields = sip_mapping.decline_response(True, leg_end, rsn, 0)
     end, _ = sip_mapping.leg_end_of(Message(status=status, fields=fields), True)
     assert end in (LegEnd.FULL, LegEnd.BUSY)
 
 
-def test_a_hold_off_is_never_shorter_in_whole_seconds():
+def test_a_hold_off_is_rounded_up_to_whole_seconds():
     _, fields = sip_mapping.decline_response(False, None, 0, 15_001)
     assert ("Retry-After", "2") in fields
 
 
-def test_marks_go_there_and_back():
+def test_dialog_params_survive_formatting_and_parsing():
     message = Message(fields=[(sip_mapping.DIALOG_FIELD, sip_mapping.format_dialog_params(True, True, True, 2310))])
     assert sip_mapping.parse_dialog_params(message) == sip_mapping.DialogParams(True, True, True, 2310)
     assert sip_mapping.parse_dialog_params(Message()) == sip_mapping.DialogParams(False, False, False, -1)
@@ -294,7 +298,7 @@
         sip_mapping.parse_dialog_params(Message(fields=[(sip_mapping.DIALOG_FIELD, "transit;time-left=x")]))
 
 
-def test_short_messages_reach_those_that_are_ready_and_no_others(peers_of):
+def test_peer_messages_are_sent_to_ready_exchanges_only(peers_of):
     from conftest import EDGE
 
     peers = peers_of(EDGE.replace("(tell-peers false)", ""))
@@ -303,13 +307,13 @@
     peers.pass_time(20_000)
     assert {hop.port for m, hop in peers.sent[peers.read :] if m.method == "MESSAGE"} == {7102, 7103}
     peers.new()
-    told = Message("MESSAGE", "sip:proxy@127.0.0.1:7000", body=b"\0\2\x0e\x0e")
-    told.fields = [
+    message = Message("MESSAGE", "sip:proxy@127.0.0.1:7000", body=b"\0\2\x0e\x0e")
+    message.fields = [
         ("Via", "SIP/2.0/UDP 127.0.0.1:9000;branch=z9hG4bKm"),
         ("From", "<sip:x>;tag=1"),
         ("To", "<sip:p>"),
         ("Call-ID", "m"),
         ("CSeq", "1 MESSAGE"),
     ]
-    peers.come(told)
+    peers.come(message)
     assert peers.proxy.controller.by_number[2].reach == (0x0E, 0x0E)
--- a/tests/test_edge_process.py
+++ b/tests/test_edge_process.py
@@ -1,4 +1,4 @@
-"""A running edge: its trace goes on and off, its store outlives a kill, and what it can't open costs memory and not calls."""
+"""A running proxy process: its trace is switched, its store survives a kill, and it serves calls without its store."""
 
 import json
 import socket
@@ -16,15 +16,15 @@
 
 
 class Edge:
-    """One edge process and a peer that calls through it; everything on loopback, everything awaited."""
+    """One proxy process and a peer that sets calls up through it, over loopback; all waits are for an event."""
 
-    def __init__(self, folder, **more):
+    def __init__(self, folder, **settings):
         self.folder, self.port = folder, free_ports(1)[0]
         self.peer = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.peer.bind(("127.0.0.1", 0))
         self.peer.settimeout(0.2)
         self.own = f"127.0.0.1:{self.peer.getsockname()[1]}"
-        self.more, self.calls, self.process = more, 0, None
+        self.settings, self.calls, self.process = settings, 0, None
 
     def start(self):
         path = self.folder / "edge.sexp"
@@ -41,7 +41,7 @@
                     {"number": 1, "id": "x1", "address": self.own, "prefix": ["001"]},
                 ],
                 traffic_type=[{"name": "v", "setup_objective_ms": 1500, "no_answer_time_ms": 5000}],
-                **self.more,
+                **self.settings,
             )
         )
         self.log = (self.folder / "log").open("a")
@@ -53,17 +53,17 @@
         return self
 
     def ask(self, method, uri, expected):
-        """A request; whether an answer that begins so comes."""
+        """Send a request; whether a response with this status arrives within 0.2 s."""
         self.calls += 1
         self.send(method, uri, f"c{self.calls}", f"z9hG4bK{method}{self.calls}", f"<{uri}>")
         return self.wait(lambda text: text.startswith(f"SIP/2.0 {expected}"), 1) is not None
 
-    def send(self, method, uri, call, branch, to, more=""):
+    def send(self, method, uri, call, branch, to, extra_fields=""):
         self.peer.sendto(
             (
                 f"{method} {uri} SIP/2.0\r\nVia: SIP/2.0/UDP {self.own};branch={branch}\r\nFrom: <sip:a@b>;tag=a\r\n"
                 f"To: {to}\r\nCall-ID: {call}\r\nCSeq: 1 {method}\r\nMax-Forwards: 70\r\nContact: <sip:a@{self.own}>\r\n"
-                f"{more}Content-Length: 0\r\n\r\n"
+                f"{extra_fields}Content-Length: 0\r\n\r\n"
             ).encode(),
             ("127.0.0.1", self.port),
         )
@@ -78,34 +78,36 @@
                 return text
         return None
 
-    def standing(self):
-        """A dialog through the proxy that stands; its Call-ID."""
+    def establish_dialog(self):
+        """Set a dialog up through the proxy; its Call-ID."""
         self.calls += 1
         call = f"call{self.calls}"
         self.send("INVITE", f"sip:001555@127.0.0.1:{self.port}", call, f"z9hG4bKi{self.calls}", "<sip:001555@b>", "Expires: 5\r\n")
         invite = self.wait(lambda text: text.startswith("INVITE") and call in text)
         assert invite is not None
-        kept = [line for line in invite.split("\r\n") if line.startswith(("Via:", "From:", "Call-ID:", "CSeq:", "Record-Route:"))]
-        kept += ["To: <sip:001555@b>;tag=far", f"Contact: <sip:f@{self.own}>", "Content-Length: 0", "", ""]
-        self.peer.sendto("\r\n".join(["SIP/2.0 200 OK", *kept]).encode(), ("127.0.0.1", self.port))
+        headers = [
+            line for line in invite.split("\r\n") if line.startswith(("Via:", "From:", "Call-ID:", "CSeq:", "Record-Route:"))
+        ]
+        headers += ["To: <sip:001555@b>;tag=far", f"Contact: <sip:f@{self.own}>", "Content-Length: 0", "", ""]
+        self.peer.sendto("\r\n".join(["SIP/2.0 200 OK", *headers]).encode(), ("127.0.0.1", self.port))
         assert self.wait(lambda text: text.startswith("SIP/2.0 200") and call in text and "CSeq: 1 INVITE" in text)
         return call
 
-    def run(self, *words):
-        done = CliRunner().invoke(main, [*words, "--control", str(self.folder / "p0.sock")])
-        return done.exit_code, done.output
+    def run(self, *arguments):
+        result = CliRunner().invoke(main, [*arguments, "--control", str(self.folder / "p0.sock")])
+        return result.exit_code, result.output
 
     def counts(self):
         from gingergap.control.client import ask
 
         return ask(str(self.folder / "p0.sock"), "counts")["counts"]
 
-    def until(self, true):
+    def wait_until(self, condition):
         for _ in range(300):
-            if true():
+            if condition():
                 return
             time.sleep(0.02)
-        raise AssertionError("never came true")
+        raise AssertionError("the condition did not become true in time")
 
     def kill(self):
         self.process.kill()
@@ -121,94 +123,96 @@
 
 @pytest.fixture
 def edge(tmp_path):
-    made = []
+    processes = []
 
-    def make(**more):
-        made.append(Edge(tmp_path, **more))
-        return made[-1]
+    def make(**settings):
+        processes.append(Edge(tmp_path, **settings))
+        return processes[-1]
 
     yield make
-    for one in made:
-        one.stop()
+    for proxy in processes:
+        proxy.stop()
 
 
-def test_recording_goes_off_and_on_while_calls_go_on(edge, tmp_path):
-    one = edge(trace={"folder": str(tmp_path / "t"), "recording": False, "metrics": True, "spans_slower_ms": 0}).start()
-    one.standing()
-    code, text = one.run("trace", "state")
+def test_recording_is_switched_off_and_on_while_calls_continue(edge, tmp_path):
+    proxy = edge(trace={"folder": str(tmp_path / "t"), "recording": False, "metrics": True, "spans_slower_ms": 0}).start()
+    proxy.establish_dialog()
+    code, text = proxy.run("trace", "state")
     assert code == 0 and "no" in text
-    assert one.run("trace", "on")[0] == 0
-    one.standing()
-    assert one.run("trace", "remark", "a word of ours")[1].strip() == "noted"
-    assert one.run("trace", "off")[0] == 0
-    one.standing()
-    assert one.run("trace", "on")[0] == 0
-    one.standing()
-    one.stop()
+    assert proxy.run("trace", "on")[0] == 0
+    proxy.establish_dialog()
+    assert proxy.run("trace", "remark", "a word of ours")[1].strip() == "noted"
+    assert proxy.run("trace", "off")[0] == 0
+    proxy.establish_dialog()
+    assert proxy.run("trace", "on")[0] == 0
+    proxy.establish_dialog()
+    proxy.stop()
     (trace,) = opened([tmp_path / "t"])
     records = [entry.record for entry in trace.entries()]
     assert sum(record[0] == CODES["dialog_came"] for record in records) == 2
     assert sum(record[0] == SNAPSHOT for record in records) == 2 and [r[0] for r in records if r[0] == "gap"][:1] == ["gap"]
     assert [record[2] for record in records if record[0] == CODES["remark"]] == ["a word of ours"]
-    done = CliRunner().invoke(main, ["trace", "replay", str(tmp_path / "t")])
-    assert done.exit_code == 0 and "2 states taken up" in done.output
+    result = CliRunner().invoke(main, ["trace", "replay", str(tmp_path / "t")])
+    assert result.exit_code == 0 and "2 states taken up" in result.output
 
 
-def test_metrics_count_what_ended(edge, tmp_path):
-    one = edge(trace={"folder": str(tmp_path / "t"), "metrics": True, "spans_slower_ms": 0}).start()
-    call = one.standing()
-    one.send("BYE", f"sip:f@{one.own}", call, "z9hG4bKbye", "<sip:001555@b>;tag=far", f"Route: <sip:127.0.0.1:{one.port};lr>\r\n")
-    assert one.wait(lambda text: text.startswith("BYE"))
+def test_metrics_and_spans_of_an_ended_dialog(edge, tmp_path):
+    proxy = edge(trace={"folder": str(tmp_path / "t"), "metrics": True, "spans_slower_ms": 0}).start()
+    call = proxy.establish_dialog()
+    proxy.send(
+        "BYE", f"sip:f@{proxy.own}", call, "z9hG4bKbye", "<sip:001555@b>;tag=far", f"Route: <sip:127.0.0.1:{proxy.port};lr>\r\n"
+    )
+    assert proxy.wait(lambda text: text.startswith("BYE"))
     wanted = 'gingergap_dialogs_total{cause="",final="stood",type="v",way="direct"} 1.0'
-    one.until(lambda: wanted in one.run("trace", "metrics")[1])
-    one.stop()
+    proxy.wait_until(lambda: wanted in proxy.run("trace", "metrics")[1])
+    proxy.stop()
     spans = [json.loads(line) for path in (tmp_path / "t").glob("*.spans") for line in path.read_text().splitlines()]
     assert [span["name"] for span in spans] == ["dialog", "leg"]
 
 
-def test_a_proxy_killed_outright_knows_its_dialogs_when_it_comes_back(edge, tmp_path):
-    one = edge(store={"folder": str(tmp_path / "s"), "every_ms": 20}).start()
-    calls = [one.standing() for _ in range(3)]
-    one.until(lambda: _written(one) >= 4)
-    one.kill()
+def test_a_killed_proxy_restores_its_dialogs_after_a_restart(edge, tmp_path):
+    proxy = edge(store={"folder": str(tmp_path / "s"), "every_ms": 20}).start()
+    calls = [proxy.establish_dialog() for _ in range(3)]
+    proxy.wait_until(lambda: _written(proxy) >= 4)
+    proxy.kill()
     assert CliRunner().invoke(main, ["store", "verify", str(tmp_path / "s")]).exit_code == 0
-    one.start()
-    assert one.counts()["remembered"] == 3
-    one.send(
-        "BYE", f"sip:f@{one.own}", calls[0], "z9hG4bKbye", "<sip:001555@b>;tag=far", f"Route: <sip:127.0.0.1:{one.port};lr>\r\n"
+    proxy.start()
+    assert proxy.counts()["remembered"] == 3
+    proxy.send(
+        "BYE", f"sip:f@{proxy.own}", calls[0], "z9hG4bKbye", "<sip:001555@b>;tag=far", f"Route: <sip:127.0.0.1:{proxy.port};lr>\r\n"
     )
-    assert one.wait(lambda text: text.startswith("BYE") and calls[0] in text)
-    one.until(lambda: one.counts().get("legs ended ended") == 1)
-    one.stop()
+    assert proxy.wait(lambda text: text.startswith("BYE") and calls[0] in text)
+    proxy.wait_until(lambda: proxy.counts().get("legs ended ended") == 1)
+    proxy.stop()
     log = (tmp_path / "log").read_text()
     assert "standing=3" in log and "Traceback" not in log
-    book = CliRunner().invoke(main, ["store", "info", str(tmp_path / "s")])
-    assert "standing" in book.output and "2" in book.output
+    info = CliRunner().invoke(main, ["store", "info", str(tmp_path / "s")])
+    assert "standing" in info.output and "2" in info.output
 
 
-def _written(one):
-    """How many dialogs and signs of life are on the disk, as the proxy tells."""
+def _written(proxy):
+    """How many dialog records and heartbeats are on the disk, according to the proxy."""
     from gingergap.control.client import ask
 
-    state = ask(str(one.folder / "p0.sock"), "store")
+    state = ask(str(proxy.folder / "p0.sock"), "store")
     return 0 if state["waiting"] else min(state["batches"], state["records"] - state["batches"] + 1)
 
 
-def test_a_folder_that_another_process_holds_costs_memory_and_not_calls(edge, tmp_path):
+def test_a_proxy_whose_store_is_locked_serves_without_a_store(edge, tmp_path):
     from gingergap.store.book import Book
 
-    held = Book(tmp_path / "s")
-    one = edge(store={"folder": str(tmp_path / "s")}).start()
-    one.standing()
-    code, text = one.run("store", "state")
+    locked = Book(tmp_path / "s")
+    proxy = edge(store={"folder": str(tmp_path / "s")}).start()
+    proxy.establish_dialog()
+    code, text = proxy.run("store", "state")
     assert code == 2 and len(text.strip().splitlines()) == 1
-    held.close()
+    locked.close()
     log = [line for line in (tmp_path / "log").read_text().splitlines() if "store-not-open" in line]
     assert len(log) == 1 and "another process" in log[0]
 
 
-def test_what_is_not_set_up_is_a_line(edge):
-    one = edge().start()
-    for words in (["trace", "on"], ["trace", "metrics"], ["trace", "remark", "x"], ["store", "state"]):
-        code, text = one.run(*words)
+def test_a_question_about_an_unconfigured_part_fails_with_one_line(edge):
+    proxy = edge().start()
+    for arguments in (["trace", "on"], ["trace", "metrics"], ["trace", "remark", "x"], ["store", "state"]):
+        code, text = proxy.run(*arguments)
         assert code == 2 and len(text.strip().splitlines()) == 1, text
--- a/tests/test_edge_proxy.py
+++ b/tests/test_edge_proxy.py
@@ -1,4 +1,4 @@
-"""The proxy message by message: one final answer, one leg, releases, and what crosses what."""
+"""The proxy message by message: one final response, one leg at a time, releases, and messages that cross."""
 
 import pytest
 
@@ -22,14 +22,14 @@
     peers.within("ACK", invite.call_id, number=1)
     assert peers.all("ACK", port=7101)
     bye = peers.within("BYE", invite.call_id)
-    (passed,) = peers.all("BYE", port=7101)
-    assert passed.call_id == bye.call_id and not passed.has("Route")
-    peers.answer((passed, Hop("UDP", "127.0.0.1", 7101)), 200, contact=False)
+    (forwarded,) = peers.all("BYE", port=7101)
+    assert forwarded.call_id == bye.call_id and not forwarded.has("Route")
+    peers.answer((forwarded, Hop("UDP", "127.0.0.1", 7101)), 200, contact=False)
     assert [m.cseq()[1] for m, hop in peers.sent if m.status == 200 and hop.port == 9000] == ["INVITE", "BYE"]
     assert not peers.proxy.calls and not peers.proxy.calls_by_key and not peers.proxy.controller.dialogs
 
 
-def test_a_retransmitted_invite_after_the_leg_timed_out_gets_the_same_answer_and_no_leg(peers):
+def test_an_invite_retransmitted_after_the_time_out_gets_the_same_response_and_no_leg(peers):
     invite = peers.invite(expires=1)
     peers.pass_time(12_000)
     assert peers.finals(invite.call_id)[0] == 408
@@ -42,15 +42,15 @@
     assert len({bytes(answer) for answer in answers}) == 1
 
 
-def test_the_answer_comes_before_the_callers_time_is_up(peers):
+def test_the_final_response_is_sent_before_the_invite_expires(peers):
     invite = peers.invite(expires=2)
     peers.answer(peers.legs(invite.call_id)[0], 100)
     peers.pass_time(20_000)
     assert peers.finals(invite.call_id)[0] == 408
-    assert peers.all("CANCEL", port=7101)  # what is still out is called off
+    assert peers.all("CANCEL", port=7101)  # the pending leg is cancelled
 
 
-def test_a_cancel_that_comes_after_the_200_changes_nothing(peers):
+def test_a_cancel_after_the_200_has_no_effect(peers):
     invite, leg = peers.standing()
     peers.cancel(invite)
     assert peers.finals(invite.call_id) == [200]
@@ -67,7 +67,7 @@
     assert peers.finals(invite.call_id) == [487]
     assert [m.status for m, hop in peers.sent if hop.port == 9000 and m.status and m.cseq()[1] == "CANCEL"] == [200]
     assert len(peers.all("CANCEL", port=7101)) == 1
-    for _ in range(3):  # the 200 is sent again until its ACK comes
+    for _ in range(3):  # the 200 is retransmitted until its ACK arrives
         peers.answer(leg, 200)
     assert peers.finals(invite.call_id) == [487]
     assert len(peers.all("ACK", port=7101)) == 3
@@ -77,7 +77,7 @@
     assert not peers.proxy.calls
 
 
-def test_a_487_after_the_cancel_ends_it_quietly(peers):
+def test_a_487_after_the_cancel_ends_the_dialog(peers):
     invite = peers.invite()
     leg = peers.legs(invite.call_id)[0]
     peers.answer(leg, 180)
@@ -88,19 +88,19 @@
     assert len(peers.legs(invite.call_id)) == 1
 
 
-def test_a_cancel_before_any_word_of_the_leg_waits_for_one(peers):
+def test_a_cancel_waits_for_a_provisional_response_of_the_leg(peers):
     invite = peers.invite()
     leg = peers.legs(invite.call_id)[0]
     peers.cancel(invite)
     assert not peers.all("CANCEL", port=7101)
     sent = len(peers.sent)
     peers.pass_time(30_000)
-    assert not [m for m, hop in peers.sent[sent:] if m.method == "INVITE"]  # and is not sent again
+    assert not [m for m, hop in peers.sent[sent:] if m.method == "INVITE"]  # and is not retransmitted
     peers.answer(leg, 100)
     assert len(peers.all("CANCEL", port=7101)) == 1
 
 
-def test_a_late_200_of_a_leg_given_up_never_reaches_the_caller(peers):
+def test_a_late_200_of_an_abandoned_leg_is_not_forwarded_to_the_caller(peers):
     invite = peers.invite(expires=1)
     leg = peers.legs(invite.call_id)[0]
     peers.pass_time(12_000)
@@ -110,22 +110,22 @@
     assert len(peers.all("ACK", port=7101)) == 1 and len(peers.all("BYE", port=7101)) == 1
 
 
-def test_a_late_200_is_released_even_by_a_process_that_knows_nothing_of_it(peers, peers_of):
+def test_a_late_200_is_released_by_a_process_without_state_of_its_dialog(peers, peers_of):
     invite = peers.invite()
     leg = peers.legs(invite.call_id)[0]
-    reborn = peers_of()
-    reborn.answer(leg, 200)
-    assert len(reborn.all("ACK", port=7101)) == 1 and len(reborn.all("BYE", port=7101)) == 1
+    restarted = peers_of()
+    restarted.answer(leg, 200)
+    assert len(restarted.all("ACK", port=7101)) == 1 and len(restarted.all("BYE", port=7101)) == 1
 
 
-def test_a_200_sent_again_because_its_ack_was_lost_is_passed_on_again(peers):
+def test_a_200_retransmitted_because_its_ack_was_lost_is_forwarded_again(peers):
     invite, leg = peers.standing()
     peers.answer(leg, 200)
     assert peers.finals(invite.call_id) == [200, 200]
     assert not peers.all("BYE")
 
 
-def test_a_second_fork_that_answers_is_released_and_the_first_stands(peers):
+def test_a_second_fork_that_answers_is_released_and_the_first_is_kept(peers):
     invite, leg = peers.standing()
     peers.answer(leg, 200, tag="other")
     assert peers.finals(invite.call_id) == [200]
@@ -134,27 +134,27 @@
     assert len(peers.proxy.calls) == 1
 
 
-def test_byes_from_both_sides_free_the_dialog_once(peers):
+def test_byes_from_both_sides_end_the_dialog_once(peers):
     invite, _ = peers.standing()
     ended = []
-    told = peers.proxy.controller.leg_ended
-    peers.proxy.controller.leg_ended = lambda *args: (ended.append(args[3]), told(*args))
+    leg_ended = peers.proxy.controller.leg_ended
+    peers.proxy.controller.leg_ended = lambda *args: (ended.append(args[3]), leg_ended(*args))
     peers.within("BYE", invite.call_id)
     peers.within("BYE", invite.call_id, by_caller=False)
     assert ended == [LegEnd.ENDED]
     assert len(peers.all("BYE", port=7101)) == 1 and len(peers.all("BYE", port=9000)) == 1
 
 
-def test_a_bye_with_a_cause_tells_that_the_dialog_was_cut(peers):
+def test_a_bye_with_a_failure_cause_reports_a_cut_dialog(peers):
     invite, _ = peers.standing()
     ended = []
-    told = peers.proxy.controller.leg_ended
-    peers.proxy.controller.leg_ended = lambda *args: (ended.append((args[3], args[5])), told(*args))
+    leg_ended = peers.proxy.controller.leg_ended
+    peers.proxy.controller.leg_ended = lambda *args: (ended.append((args[3], args[5])), leg_ended(*args))
     peers.within("BYE", invite.call_id, by_caller=False, fields=[("Reason", "Q.850;cause=38")])
     assert ended == [(LegEnd.CUT, True)]
 
 
-def test_a_dialog_from_before_a_restart_is_still_passed_on(peers):
+def test_a_request_in_a_dialog_from_before_a_restart_is_forwarded(peers):
     peers.within("BYE", "unknown-here")
     assert len(peers.all("BYE", port=7101)) == 1
 
@@ -169,7 +169,7 @@
     assert peers.all("ACK", port=7101)
 
 
-def test_a_full_group_is_followed_by_a_tandem(peers):
+def test_a_leg_over_a_tandem_follows_a_full_direct_group(peers):
     invite = peers.invite()
     peers.answer(peers.legs(invite.call_id)[0], 503, fields=[("Reason", "Q.850;cause=34")])
     legs = peers.legs(invite.call_id)
@@ -179,9 +179,9 @@
     assert peers.finals(invite.call_id) == [200]
 
 
-def over_tcp(peers):
-    """The leg of an INVITE to an exchange that is reached over TCP, with its hop, and the INVITE."""
-    tcp = [("x1", "ready", 0.0)]
+def leg_over_tcp(peers):
+    """An INVITE and its leg, with the hop, to an exchange reached over TCP."""
+    lines = [("x1", "ready", 0.0)]
     peers.notify(
         "exchange-list",
         {
@@ -192,12 +192,12 @@
                 {
                     "id": name,
                     "number": int(name[1]),
-                    "state": word,
+                    "state": state,
                     "started": started,
                     "transport": "TCP",
                     "address": f"127.0.0.1:710{name[1]}",
                 }
-                for name, word, started in tcp
+                for name, state, started in lines
             ],
         },
     )
@@ -207,8 +207,8 @@
     return invite, leg, hop
 
 
-def test_the_release_guard_passes_before_a_dialog_is_sent_again(peers):
-    invite, leg, hop = over_tcp(peers)
+def test_the_next_leg_is_sent_after_the_release_guard(peers):
+    invite, leg, hop = leg_over_tcp(peers)
     peers.answer((leg, hop), 100)
     peers.proxy.hop_failed(peers.now, Hop("TCP", "127.0.0.1", 7101, 5), True)
     peers.pass_time(1_950)
@@ -217,10 +217,10 @@
     assert len(peers.legs(invite.call_id)) == 2
 
 
-# Guards against a leg within the release guard of one that was given up unheard, so that no CANCEL could be sent, and whose
-# connection was dropped meanwhile.
-def test_the_release_guard_begins_anew_when_the_connection_of_a_leg_given_up_is_dropped(peers):
-    invite, _, _ = over_tcp(peers)
+# A leg was abandoned before any response, so that no CANCEL could be sent, and its connection was reset afterwards. The next
+# leg was sent within the release guard counted from that reset.
+def test_the_release_guard_restarts_when_the_connection_of_an_abandoned_leg_is_reset(peers):
+    invite, _, _ = leg_over_tcp(peers)
     peers.proxy.cancel_leg(next(iter(peers.proxy.calls)), 0)
     peers.pass_time(1_500)
     peers.proxy.hop_failed(peers.now, Hop("TCP", "127.0.0.1", 7101, 5), True)
@@ -230,16 +230,16 @@
     assert len(peers.legs(invite.call_id)) == 2
 
 
-def test_nobody_there_is_told_apart_from_silence(peers):
+def test_an_unreachable_exchange_is_distinguished_from_a_silent_one(peers):
     invite = peers.invite()
     peers.proxy.hop_failed(peers.now, Hop("UDP", "127.0.0.1", 7101), False)
     assert peers.proxy.counts["legs ended unreachable"] == 1
-    assert len(peers.legs(invite.call_id)) == 1  # and it is not asked again at once
+    assert len(peers.legs(invite.call_id)) == 1  # and it is not tried again at once
     peers.pass_time(32_000)
     assert set(peers.finals(invite.call_id)) == {503}
 
 
-def test_a_dialog_in_transit_goes_to_its_destination_or_back(peers):
+def test_a_dialog_in_transit_is_sent_to_its_destination_only(peers):
     invite = peers.invite(fields=[("Gingergap-Dialog", "transit;time-left=1500")])
     ((leg, hop),) = peers.legs(invite.call_id)
     assert hop.port == 7101 and "transit" not in leg.get("Gingergap-Dialog")
@@ -252,17 +252,17 @@
     assert q850_cause_of(final) == (42, "RLN")
 
 
-def test_a_transit_dialog_judged_too_much_is_turned_back_as_such(peers):
+def test_a_dialog_in_transit_declined_for_lack_of_circuits_has_its_own_cause(peers):
     peers.tell_groups({1: 0, 2: 20, 3: 20})
     peers.invite(fields=[("Gingergap-Dialog", "transit;time-left=1500")])
     (final,) = [m for m, h in peers.sent if m.status == 503 and h.port == 9000]
     assert q850_cause_of(final) == (21, "TN") and not final.has("Retry-After")
 
 
-def test_two_proxies_as_each_others_tandems_at_once(peers):
-    own = peers.invite("002555")
-    peers.answer(peers.legs(own.call_id)[0], 503, fields=[("Reason", "Q.850;cause=34")])
-    tandem, hop = peers.legs(own.call_id)[1]
+def test_two_proxies_may_be_tandems_of_each_other(peers):
+    own_dialog = peers.invite("002555")
+    peers.answer(peers.legs(own_dialog.call_id)[0], 503, fields=[("Reason", "Q.850;cause=34")])
+    tandem, hop = peers.legs(own_dialog.call_id)[1]
     far = 4 - (hop.port - 7100)  # neither the tandem nor the full group
     transit = peers.invite(
         f"00{far}777", fields=[("Gingergap-Dialog", "transit;time-left=2000")], call="theirs", hop=Hop("UDP", "127.0.0.1", hop.port)
@@ -270,16 +270,16 @@
     assert [h.port for _, h in peers.legs(transit.call_id)] == [7100 + far]
     peers.answer((tandem, hop), 200)
     peers.answer(peers.legs("theirs")[0], 200)
-    assert peers.finals(own.call_id) == [200]
+    assert peers.finals(own_dialog.call_id) == [200]
     assert [m.status for m, h in peers.sent if m.call_id == "theirs" and h.port == hop.port and m.status >= 200] == [200]
 
 
-def test_a_request_that_came_round_is_refused(peers):
+def test_a_looped_request_is_rejected(peers):
     peers.invite(fields=[("Via", "SIP/2.0/UDP 127.0.0.1:7000;branch=z9hG4bKold")])
     assert peers.all(status=482) and not peers.legs("call1")
 
 
-def test_the_same_dialog_by_a_second_way_is_refused(peers):
+def test_the_same_dialog_received_by_a_second_path_is_rejected(peers):
     first = peers.invite()
     peers.invite(branch="z9hG4bKother", call=first.call_id)
     assert len(peers.all(status=482)) == 1 and len(peers.legs(first.call_id)) == 1
@@ -301,9 +301,9 @@
         (lambda m: setattr(m, "uri", "sip:999@127.0.0.1:7000"), 404),
     ],
 )
-def test_a_bad_invite_is_answered_and_leaves_nothing(peers, change, status):
+def test_an_invalid_invite_is_answered_and_leaves_no_state(peers, change, status):
     message = peers.invite()
-    good = len(peers.proxy.calls)
+    calls_before = len(peers.proxy.calls)
     peers.read = len(peers.sent)
     message = message.copy()
     message.put("Call-ID", "bad")
@@ -311,21 +311,21 @@
     change(message)
     peers.come(message)
     assert [m.status for m in peers.new(port=9000)] == [status]
-    assert len(peers.proxy.calls) == good and not peers.legs("bad")
+    assert len(peers.proxy.calls) == calls_before and not peers.legs("bad")
 
 
-def test_a_request_without_via_has_nowhere_to_be_answered(peers):
+def test_a_request_without_via_is_dropped(peers):
     message = Message("INVITE", "sip:001@127.0.0.1:7000")
     message.fields = [("From", "<sip:a>;tag=1"), ("To", "<sip:b>"), ("Call-ID", "x"), ("CSeq", "1 INVITE")]
     peers.come(message)
     assert not peers.new() and not peers.proxy.calls
 
 
-def test_over_its_bound_the_door_answers_at_once_and_retransmissions_make_no_work(peers):
+def test_dialogs_over_the_limit_are_rejected_at_once_and_retransmissions_send_no_legs(peers):
     invites = [peers.invite(expires=30) for _ in range(60)]
     peers.read = 0
-    away = [m for m in peers.new(status=503) if m.get("Retry-After")]
-    assert away and peers.proxy.open_dialogs <= 50
+    rejected = [m for m in peers.new(status=503) if m.get("Retry-After")]
+    assert rejected and peers.proxy.open_dialogs <= 50
     legs = peers.proxy.counts["legs"]
     for invite in invites:
         peers.come(invite)
@@ -333,18 +333,18 @@
     assert peers.proxy.open_dialogs <= 50
 
 
-def test_over_the_bound_of_transactions_answers_keep_nothing(peers_of):
+def test_requests_over_the_transaction_limit_are_answered_without_state(peers_of):
     from conftest import EDGE
 
     peers = peers_of(EDGE.replace("(transactions 500)", "(transactions 5)"))
     for _ in range(20):
         peers.invite()
     assert len(peers.proxy.transactions.servers) <= 5
-    away = peers.all(status=503)
-    assert len(away) >= 15 and all(m.get("Retry-After") == "1" for m in away)
+    rejected = peers.all(status=503)
+    assert len(rejected) >= 15 and all(m.get("Retry-After") == "1" for m in rejected)
 
 
-def test_a_draining_proxy_takes_nothing_new_and_lets_the_rest_finish(peers):
+def test_a_draining_proxy_rejects_new_dialogs_and_lets_established_ones_finish(peers):
     invite, _ = peers.standing()
     peers.proxy.admission.draining = True
     late = peers.invite()
@@ -373,7 +373,7 @@
 
 
 @pytest.mark.parametrize("target", ["sip:far@127.0.0.1:7101;transport=sctp", "sip:far@127.0.0.1:99999", "tel:555", "sip:"])
-def test_a_way_on_that_is_not_served_is_refused_and_an_ack_dropped(peers, target):
+def test_a_request_with_an_unsupported_next_hop_is_rejected_and_an_ack_dropped(peers, target):
     for method in ("BYE", "ACK"):
         message = Message(method, target)
         message.fields = [
@@ -389,7 +389,7 @@
     assert not [key for key in peers.proxy.transactions.clients if key[1] == "BYE"]
 
 
-def test_nothing_of_a_finished_day_is_kept(peers):
+def test_no_state_is_left_after_all_dialogs_have_ended(peers):
     for number in range(40):
         invite = peers.invite(f"001{number:03d}")
         legs = peers.legs(invite.call_id)
--- a/tests/test_sip_message.py
+++ b/tests/test_sip_message.py
@@ -1,4 +1,4 @@
-"""Messages, fields and frames: what the RFC allows is read, what it forbids is refused with its status or silence."""
+"""Messages, fields and framing: valid input is parsed, invalid input rejected with the status that the RFC gives."""
 
 import pytest
 import sipmessage
@@ -22,7 +22,7 @@
 )
 
 
-def test_a_tortuous_but_lawful_invite():
+def test_a_tortuous_invite_as_in_rfc_4475_is_parsed():
     message = parse(INVITE)
     check_request(message)
     assert message.cseq() == (9, "INVITE")
@@ -39,7 +39,7 @@
     assert message.body == b"body"
 
 
-OK = (
+HEADER = (
     b"OPTIONS sip:a@b SIP/2.0\r\nVia: SIP/2.0/UDP h;branch=z9hG4bK1\r\nFrom: <sip:a>;tag=1\r\nTo: <sip:b>\r\n"
     b"Call-ID: c\r\nCSeq: 1 OPTIONS\r\n"
 )
@@ -53,25 +53,25 @@
         (b"INVITE", 0),
         (b"hello there\r\n\r\n", 0),
         (b"INVITE sip:a SIP/2.0\r\n", 0),
-        (OK.replace(b"SIP/2.0\r\n", b"SIP/7.0\r\n", 1) + b"\r\n", 505),
-        (OK.replace(b"sip:a@b", b"sip:a@b and more") + b"\r\n", 400),
-        (OK.replace(b"OPTIONS sip", b"OPT<ONS sip", 1) + b"\r\n", 400),
-        (OK + b"Content-Length: 9\r\n\r\nshort", 400),
-        (OK + b"Content-Length: -1\r\n\r\n", 400),
-        (OK + b"Content-Length: x\r\n\r\n", 400),
-        (OK + b"no colon here\r\n\r\n", 400),
-        (OK + b"bad name: x\r\n\r\n", 400),
-        (OK + b"X: a\0b\r\n\r\n", 0),
-        (OK + b"X: " + b"a" * 20_000 + b"\r\n\r\n", 513),
-        (OK + b"X: y\r\n" * 300 + b"\r\n", 513),
+        (HEADER.replace(b"SIP/2.0\r\n", b"SIP/7.0\r\n", 1) + b"\r\n", 505),
+        (HEADER.replace(b"sip:a@b", b"sip:a@b and more") + b"\r\n", 400),
+        (HEADER.replace(b"OPTIONS sip", b"OPT<ONS sip", 1) + b"\r\n", 400),
+        (HEADER + b"Content-Length: 9\r\n\r\nshort", 400),
+        (HEADER + b"Content-Length: -1\r\n\r\n", 400),
+        (HEADER + b"Content-Length: x\r\n\r\n", 400),
+        (HEADER + b"no colon here\r\n\r\n", 400),
+        (HEADER + b"bad name: x\r\n\r\n", 400),
+        (HEADER + b"X: a\0b\r\n\r\n", 0),
+        (HEADER + b"X: " + b"a" * 20_000 + b"\r\n\r\n", 513),
+        (HEADER + b"X: y\r\n" * 300 + b"\r\n", 513),
         (b"SIP/2.0 99 Low\r\n\r\n", 0),
         (b"SIP/2.0 abc Word\r\n\r\n", 0),
         (b"SIP/3.0 200 OK\r\n\r\n", 0),
         (b"SIP/2.0 700 High\r\n\r\n", 0),
-        (OK.replace(b"OPTIONS sip", b"OPTIONS\rsip", 1) + b"\r\n", 0),
+        (HEADER.replace(b"OPTIONS sip", b"OPTIONS\rsip", 1) + b"\r\n", 0),
     ],
 )
-def test_what_is_no_message_is_refused(data, status):
+def test_bytes_that_are_not_a_message_are_rejected(data, status):
     with pytest.raises(BadMessageError) as bad:
         parse(data)
     assert bad.value.status == status
@@ -93,23 +93,23 @@
         (b"sip:a@b", b"sip:", 400),
     ],
 )
-def test_what_is_no_request_is_refused(old, new, status):
+def test_an_invalid_request_is_rejected(old, new, status):
     with pytest.raises(BadMessageError) as bad:
-        check_request(parse(OK.replace(old, new, 1) + b"\r\n"))
+        check_request(parse(HEADER.replace(old, new, 1) + b"\r\n"))
     assert bad.value.status == status
 
 
-def test_bytes_past_the_length_of_a_datagram_are_dropped():
-    assert parse(OK + b"Content-Length: 2\r\n\r\nabcd").body == b"ab"
+def test_bytes_of_a_datagram_beyond_content_length_are_dropped():
+    assert parse(HEADER + b"Content-Length: 2\r\n\r\nabcd").body == b"ab"
 
 
-def test_compact_names_and_any_case_mean_the_same():
-    message = parse(OK.replace(b"Call-ID", b"I").replace(b"Via", b"v").replace(b"From", b"FROM") + b"l: 0\r\n\r\n")
+def test_field_names_may_be_compact_and_in_any_case():
+    message = parse(HEADER.replace(b"Call-ID", b"I").replace(b"Via", b"v").replace(b"From", b"FROM") + b"l: 0\r\n\r\n")
     check_request(message)
     assert message.call_id == "c" and message.get("From") == "<sip:a>;tag=1"
 
 
-def test_a_list_field_is_read_and_taken_apart_one_by_one():
+def test_the_values_of_a_list_field_are_popped_one_by_one():
     message = Message(fields=[("Route", '<sip:a;lr>, "x, y" <sip:b;lr>'), ("Route", "<sip:c;lr>")])
     assert [message.pop_first("Route") for _ in range(4)] == ["<sip:a;lr>", '"x, y" <sip:b;lr>', "<sip:c;lr>", ""]
 
@@ -118,24 +118,24 @@
     "text",
     ["SIP/2.0/UDP", "SIP/1.0/UDP h", "x", "", "SIP/2.0/UDP h:0", "SIP/2.0/UDP h:99999", "SIP/2.0/UDP h:1x", "HTTP/2.0/TCP h"],
 )
-def test_a_bad_via_is_refused(text):
+def test_an_invalid_via_is_rejected(text):
     with pytest.raises(BadMessageError):
         parse_via(text)
 
 
-def test_a_trunk_group_stands_in_the_user_part():
+def test_trunk_group_parameters_are_in_the_user_part():
     uri = parse_uri("sip:+27115550100;tgrp=g0-2;trunk-context=kpl.invalid@127.0.0.1:5070;transport=tcp")
     assert uri.user == "+27115550100" and uri.user_params["tgrp"] == "g0-2"
     assert (uri.host, uri.port, uri.params["transport"]) == ("127.0.0.1", 5070, "tcp")
 
 
-def test_reasons_of_other_protocols_are_passed_over():
+def test_reasons_of_other_protocols_are_ignored():
     message = Message(fields=[("Reason", 'SIP;cause=200, Q.850;cause=34;text="no, circuit"')])
     assert q850_cause_of(message) == (34, "")
     assert q850_cause_of(Message(fields=[("Reason", "Q.850;cause=x")])) == (0, "")
 
 
-def test_seconds_with_a_comment():
+def test_seconds_may_be_followed_by_a_comment_or_parameters():
     assert parse_seconds(Message(fields=[("Retry-After", "18000;duration=3600")]), "Retry-After", 0) == 18000
     assert parse_seconds(Message(fields=[("Retry-After", "120 (I'm in a meeting)")]), "Retry-After", 0) == 120
     with pytest.raises(BadMessageError):
@@ -171,30 +171,30 @@
 
 @given(requests())
 @settings(max_examples=150, derandomize=True, deadline=None)
-def test_what_is_written_is_read_again_and_a_second_parser_agrees(message):
-    again = parse(bytes(message))
-    assert (again.method, again.uri, again.body) == (message.method, message.uri, message.body)
-    assert [entry for entry in again.fields if entry[0] != "Content-Length"] == message.fields
-    other = sipmessage.Message.parse(bytes(message).split(b"\r\n\r\n")[0] + b"\r\n\r\n")
-    assert isinstance(other, sipmessage.Request)
-    assert other.method == again.method and str(other.uri) == again.uri
-    assert other.call_id == again.call_id
-    assert (other.cseq.sequence, other.cseq.method) == again.cseq()
-    assert [(via.host, via.port, via.parameters["branch"]) for via in other.via] == [
-        (via.host, via.port, via.branch) for via in map(parse_via, again.all("Via"))
+def test_serialised_messages_parse_to_the_same_as_with_another_parser(message):
+    parsed = parse(bytes(message))
+    assert (parsed.method, parsed.uri, parsed.body) == (message.method, message.uri, message.body)
+    assert [entry for entry in parsed.fields if entry[0] != "Content-Length"] == message.fields
+    reference = sipmessage.Message.parse(bytes(message).split(b"\r\n\r\n")[0] + b"\r\n\r\n")
+    assert isinstance(reference, sipmessage.Request)
+    assert reference.method == parsed.method and str(reference.uri) == parsed.uri
+    assert reference.call_id == parsed.call_id
+    assert (reference.cseq.sequence, reference.cseq.method) == parsed.cseq()
+    assert [(via.host, via.port, via.parameters["branch"]) for via in reference.via] == [
+        (via.host, via.port, via.branch) for via in map(parse_via, parsed.all("Via"))
     ]
-    assert other.from_address.parameters["tag"] == tag_of(again.get("From"))
+    assert reference.from_address.parameters["tag"] == tag_of(parsed.get("From"))
 
 
 @given(st.lists(requests(), min_size=1, max_size=4), st.lists(st.integers(1, 60), max_size=60), st.booleans())
 @settings(max_examples=100, derandomize=True, deadline=None)
-def test_a_stream_may_be_split_anywhere(messages, cuts, blanks):
+def test_a_stream_may_be_split_anywhere(messages, sizes, blanks):
     stream = b"".join((b"\r\n\r\n" if blanks else b"") + bytes(message) for message in messages)
-    framer, found, at = Framer(), [], 0
-    for size in [*cuts, len(stream)]:
-        found += framer.feed(stream[at : at + size])
-        at += size
-    found += framer.feed(stream[at:])
+    framer, found, offset = Framer(), [], 0
+    for size in [*sizes, len(stream)]:
+        found += framer.feed(stream[offset : offset + size])
+        offset += size
+    found += framer.feed(stream[offset:])
     assert [bytes(message) for message in found] == [bytes(message) for message in messages]
     assert not framer.buffer.strip(b"\r\n")
 
@@ -202,30 +202,30 @@
 @pytest.mark.parametrize(
     "data",
     [
-        OK + b"\r\n",
-        OK + b"Content-Length: x\r\n\r\n",
-        OK + b"Content-Length: 1\r\nl: 2\r\n\r\n",
-        OK + b"Content-Length: 99999999\r\n\r\n",
+        HEADER + b"\r\n",
+        HEADER + b"Content-Length: x\r\n\r\n",
+        HEADER + b"Content-Length: 1\r\nl: 2\r\n\r\n",
+        HEADER + b"Content-Length: 99999999\r\n\r\n",
         b"a" * 20_000,
     ],
 )
-def test_a_stream_that_lost_its_frames_is_given_up(data):
+def test_a_stream_without_valid_framing_is_abandoned(data):
     with pytest.raises(BadMessageError):
         Framer().feed(data)
 
 
-def test_a_framed_but_unusable_message_does_not_cost_the_next():
+def test_the_message_after_an_unusable_one_is_parsed():
     bad = b"OPTIONS sip:a SIP/9.0\r\nContent-Length: 0\r\n\r\n"
-    found = Framer().feed(bad + OK + b"Content-Length: 0\r\n\r\n")
+    found = Framer().feed(bad + HEADER + b"Content-Length: 0\r\n\r\n")
     assert isinstance(found[0], BadMessageError) and found[1].method == "OPTIONS"
 
 
 @given(st.binary(max_size=400))
 @settings(max_examples=300, derandomize=True, deadline=None)
-def test_no_bytes_bring_the_parser_down(data):
-    for whole in (data, OK + data, OK + data + b"\r\n\r\n", b"SIP/2.0 200 OK\r\n" + data + b"\r\n\r\n"):
+def test_any_bytes_are_parsed_or_rejected(data):
+    for encoded in (data, HEADER + data, HEADER + data + b"\r\n\r\n", b"SIP/2.0 200 OK\r\n" + data + b"\r\n\r\n"):
         try:
-            message = parse(whole)
+            message = parse(encoded)
             if message.method:
                 check_request(message)
             [parse_via(value) for value in message.all("Via")]
@@ -235,5 +235,5 @@
             pass
 
 
-def test_lists_are_split_outside_quotes_and_brackets():
+def test_lists_are_split_outside_quotes_and_angle_brackets():
     assert split_list('"a, \\" b" <sip:x,y>, <sip:z>;p=1,') == ['"a, \\" b" <sip:x,y>', "<sip:z>;p=1"]
--- a/tests/test_sip_transactions.py
+++ b/tests/test_sip_transactions.py
@@ -1,4 +1,4 @@
-"""The four machines by their timers, and under any order of events."""
+"""The four transaction state machines: their timers, and random orders of events."""
 
 import random
 
@@ -15,36 +15,36 @@
 STREAM = Hop("TCP", "127.0.0.1", 6000, 4)
 
 
-class Noted:
-    """Wire and user in one: what is sent and told is kept."""
+class Recorder:
+    """Transport and transaction user that record what is sent and reported."""
 
     def __init__(self, max_servers=1000):
-        self.sent, self.told = [], []
+        self.sent, self.reported = [], []
         self.transactions = Transactions(self, self, ("127.0.0.1", 5000), max_servers=max_servers)
 
     def transmit(self, data, hop):
         self.sent.append(parse(data))
 
     def request_received(self, now, server, message):
-        self.told.append(("request", server))
+        self.reported.append(("request", server))
 
     def ack_received(self, now, message, hop):
-        self.told.append(("ack", message))
+        self.reported.append(("ack", message))
 
     def transaction_limit_reached(self, now, message, hop):
-        self.told.append(("shut", message))
+        self.reported.append(("limit", message))
 
     def response_received(self, now, client, message):
-        self.told.append((message.status, client))
+        self.reported.append((message.status, client))
 
     def stray_response(self, now, message):
-        self.told.append(("stray", message))
+        self.reported.append(("stray", message))
 
-    def client_failed(self, now, client, how):
-        self.told.append((how, client))
+    def client_failed(self, now, client, failure):
+        self.reported.append((failure, client))
 
     def ack_timed_out(self, now, server):
-        self.told.append(("unacked", server))
+        self.reported.append(("unacked", server))
 
     def run(self, start, until, step=100):
         for now in range(start, until + 1, step):
@@ -69,12 +69,12 @@
     return message
 
 
-def client_of(noted, method="INVITE", hop=PEER):
-    return noted.transactions.request(0, request(method), hop, "z9hG4bKc")
+def client_of(recorder, method="INVITE", hop=PEER):
+    return recorder.transactions.request(0, request(method), hop, "z9hG4bKc")
 
 
-def answer(noted, now, client, status, tag="t"):
-    noted.transactions.received(
+def answer(recorder, now, client, status, tag="t"):
+    recorder.transactions.received(
         now, parse(bytes(response(client.request, status, tag, [("Contact", "<sip:f@127.0.0.1:6000>")]))), PEER
     )
 
@@ -86,200 +86,204 @@
         ("OPTIONS", [5_000, 15_000, 35_000, 75_000, 115_000, 155_000, 195_000, 235_000, 275_000, 315_000]),
     ],
 )
-def test_requests_over_datagrams_are_sent_again_and_given_up(method, gaps):
-    noted = Noted()
-    client_of(noted, method)
+def test_requests_over_udp_are_retransmitted_until_the_time_out(method, gaps):
+    recorder = Recorder()
+    client_of(recorder, method)
     at, count = [], 1
     for now in range(0, 330_000, 100):
-        noted.transactions.fire_timers(now)
-        if len(noted.sent) > count:
-            count = len(noted.sent)
+        recorder.transactions.fire_timers(now)
+        if len(recorder.sent) > count:
+            count = len(recorder.sent)
             at.append(now)
     assert at == gaps
-    assert [entry[0] for entry in noted.told] == [ClientFailure.TIMEOUT]
-    assert not noted.transactions.clients and noted.transactions.next_timer() is None
+    assert [entry[0] for entry in recorder.reported] == [ClientFailure.TIMEOUT]
+    assert not recorder.transactions.clients and recorder.transactions.next_timer() is None
 
 
 @pytest.mark.parametrize("method", ["INVITE", "OPTIONS"])
-def test_streams_are_trusted(method):
-    noted = Noted()
-    client_of(noted, method, STREAM)
-    noted.run(0, 64 * T1)
-    assert len(noted.sent) == 1 and noted.told[0][0] == ClientFailure.TIMEOUT
+def test_requests_over_streams_are_not_retransmitted(method):
+    recorder = Recorder()
+    client_of(recorder, method, STREAM)
+    recorder.run(0, 64 * T1)
+    assert len(recorder.sent) == 1 and recorder.reported[0][0] == ClientFailure.TIMEOUT
 
 
-def test_a_failure_is_acked_each_time_and_told_once():
-    noted = Noted()
-    client = client_of(noted)
+def test_a_failure_response_is_acked_each_time_and_reported_once():
+    recorder = Recorder()
+    client = client_of(recorder)
     for now in (100, 200, 300):
-        answer(noted, now, client, 486)
-    assert [entry[0] for entry in noted.told] == [486]
-    acks = [message for message in noted.sent if message.method == "ACK"]
+        answer(recorder, now, client, 486)
+    assert [entry[0] for entry in recorder.reported] == [486]
+    acks = [message for message in recorder.sent if message.method == "ACK"]
     assert len(acks) == 3 and acks[0].get("To").endswith("tag=t") and acks[0].cseq() == (1, "ACK")
     assert acks[0].all("Via") == client.request.all("Via")
-    noted.run(300, 330_000)
-    assert not noted.transactions.clients
+    recorder.run(300, 330_000)
+    assert not recorder.transactions.clients
 
 
-def test_a_2xx_is_told_each_time_and_never_acked_here():
-    noted = Noted()
-    client = client_of(noted)
+def test_a_2xx_is_reported_each_time_and_not_acked_by_the_transaction():
+    recorder = Recorder()
+    client = client_of(recorder)
     for now in (100, 200):
-        answer(noted, now, client, 200)
-    assert [entry[0] for entry in noted.told] == [200, 200]
-    assert not [message for message in noted.sent if message.method == "ACK"]
-    noted.run(300, 330_000)
-    answer(noted, 340_000, client, 200)
-    assert noted.told[-1][0] == "stray"
-
-
-def test_cancel_has_the_branch_of_its_invite_and_waits_for_a_word():
-    noted = Noted()
-    client = client_of(noted)
-    noted.transactions.cancel(10, client)
-    noted.run(10, 100_000)
-    assert [message.method for message in noted.sent] == ["INVITE"]
-    answer(noted, 100_100, client, 180)
-    cancel = noted.sent[-1]
+        answer(recorder, now, client, 200)
+    assert [entry[0] for entry in recorder.reported] == [200, 200]
+    assert not [message for message in recorder.sent if message.method == "ACK"]
+    recorder.run(300, 330_000)
+    answer(recorder, 340_000, client, 200)
+    assert recorder.reported[-1][0] == "stray"
+
+
+def test_cancel_has_the_branch_of_its_invite_and_waits_for_a_response():
+    recorder = Recorder()
+    client = client_of(recorder)
+    recorder.transactions.cancel(10, client)
+    recorder.run(10, 100_000)
+    assert [message.method for message in recorder.sent] == ["INVITE"]
+    answer(recorder, 100_100, client, 180)
+    cancel = recorder.sent[-1]
     assert cancel.method == "CANCEL" and cancel.all("Via") == client.request.all("Via")
     assert cancel.cseq() == (1, "CANCEL")
-    noted.run(100_100, 500_000)
-    assert ClientFailure.TIMEOUT in [entry[0] for entry in noted.told] and not noted.transactions.clients
+    recorder.run(100_100, 500_000)
+    assert ClientFailure.TIMEOUT in [entry[0] for entry in recorder.reported] and not recorder.transactions.clients
 
 
 @pytest.mark.parametrize("reset", [True, False])
-def test_a_lost_hop_ends_what_was_under_way_there(reset):
-    noted = Noted()
-    client_of(noted, hop=Hop("TCP", "127.0.0.1", 6000))
-    other = noted.transactions.request(0, request("OPTIONS"), Hop("TCP", "127.0.0.1", 6001), "z9hG4bKo")
-    noted.transactions.hop_failed(10, Hop("TCP", "127.0.0.1", 6000, 9), reset)
-    assert [entry[0] for entry in noted.told] == [ClientFailure.RESET if reset else ClientFailure.UNREACHABLE]
-    assert list(noted.transactions.clients.values()) == [other]
-
-
-def test_an_icmp_error_after_a_word_says_nothing_of_the_transaction():
-    noted = Noted()
-    client = client_of(noted)
-    answer(noted, 10, client, 100)
-    noted.transactions.hop_failed(20, PEER, False)
+def test_transactions_to_a_failed_hop_fail(reset):
+    recorder = Recorder()
+    client_of(recorder, hop=Hop("TCP", "127.0.0.1", 6000))
+    other = recorder.transactions.request(0, request("OPTIONS"), Hop("TCP", "127.0.0.1", 6001), "z9hG4bKo")
+    recorder.transactions.hop_failed(10, Hop("TCP", "127.0.0.1", 6000, 9), reset)
+    assert [entry[0] for entry in recorder.reported] == [ClientFailure.RESET if reset else ClientFailure.UNREACHABLE]
+    assert list(recorder.transactions.clients.values()) == [other]
+
+
+def test_an_icmp_error_after_a_response_is_ignored():
+    recorder = Recorder()
+    client = client_of(recorder)
+    answer(recorder, 10, client, 100)
+    recorder.transactions.hop_failed(20, PEER, False)
     assert client.state == TransactionState.PROCEEDING
 
 
-def test_a_final_failure_is_sent_again_until_its_ack():
-    noted = Noted()
-    noted.transactions.received(0, incoming(), PEER)
-    server = noted.told[0][1]
-    noted.transactions.respond(0, server, response(incoming(), 503, "t"))
-    noted.run(0, 40_000)
-    assert len(noted.sent) == 4  # 0, 500 ms, 1.5 s, 3.5 s
-    noted.transactions.received(40_000, incoming("ACK"), PEER)
-    noted.transactions.received(40_010, incoming(), PEER)
-    noted.run(40_100, 100_000)
-    assert len(noted.sent) == 4 and not noted.transactions.servers
+def test_a_failure_response_is_retransmitted_until_its_ack():
+    recorder = Recorder()
+    recorder.transactions.received(0, incoming(), PEER)
+    server = recorder.reported[0][1]
+    recorder.transactions.respond(0, server, response(incoming(), 503, "t"))
+    recorder.run(0, 40_000)
+    assert len(recorder.sent) == 4  # 0, 500 ms, 1.5 s, 3.5 s
+    recorder.transactions.received(40_000, incoming("ACK"), PEER)
+    recorder.transactions.received(40_010, incoming(), PEER)
+    recorder.run(40_100, 100_000)
+    assert len(recorder.sent) == 4 and not recorder.transactions.servers
 
 
-def test_an_answer_never_acknowledged_is_given_up():
-    noted = Noted()
-    noted.transactions.received(0, incoming(), PEER)
-    noted.transactions.respond(0, noted.told[0][1], response(incoming(), 503, "t"))
-    noted.run(0, 330_000)
-    assert noted.told[-1][0] == "unacked" and not noted.transactions.servers
+def test_a_failure_response_that_is_never_acknowledged_times_out():
+    recorder = Recorder()
+    recorder.transactions.received(0, incoming(), PEER)
+    recorder.transactions.respond(0, recorder.reported[0][1], response(incoming(), 503, "t"))
+    recorder.run(0, 330_000)
+    assert recorder.reported[-1][0] == "unacked" and not recorder.transactions.servers
 
 
-def test_a_retransmission_is_answered_as_before_without_work():
-    noted = Noted()
+def test_a_retransmitted_request_gets_the_last_response_and_is_not_reported():
+    recorder = Recorder()
     for now in range(5):
-        noted.transactions.received(now, incoming("OPTIONS"), PEER)
+        recorder.transactions.received(now, incoming("OPTIONS"), PEER)
         if now == 1:
-            noted.transactions.respond(now, noted.told[0][1], response(incoming("OPTIONS"), 200, "t"))
-    assert [entry[0] for entry in noted.told] == ["request"]
-    assert [message.status for message in noted.sent] == [200] * 4
+            recorder.transactions.respond(now, recorder.reported[0][1], response(incoming("OPTIONS"), 200, "t"))
+    assert [entry[0] for entry in recorder.reported] == ["request"]
+    assert [message.status for message in recorder.sent] == [200] * 4
 
 
-def test_after_the_final_answer_no_other_goes_out():
-    noted = Noted()
-    noted.transactions.received(0, incoming(), PEER)
-    server = noted.told[0][1]
-    noted.transactions.respond(0, server, response(incoming(), 487, "t"))
+def test_no_other_response_is_sent_after_the_final_one():
+    recorder = Recorder()
+    recorder.transactions.received(0, incoming(), PEER)
+    server = recorder.reported[0][1]
+    recorder.transactions.respond(0, server, response(incoming(), 487, "t"))
     for status in (100, 180, 200, 486):
-        noted.transactions.respond(1, server, response(incoming(), status, "t"))
-    assert [message.status for message in noted.sent] == [487]
+        recorder.transactions.respond(1, server, response(incoming(), status, "t"))
+    assert [message.status for message in recorder.sent] == [487]
 
 
-def test_over_the_bound_requests_are_shut_out_but_acks_pass():
-    noted = Noted(max_servers=2)
+def test_requests_over_the_limit_are_reported_as_such_but_acks_pass():
+    recorder = Recorder(max_servers=2)
     for number in range(4):
-        noted.transactions.received(0, incoming(branch=f"z9hG4bK{number}"), PEER)
-    assert [entry[0] for entry in noted.told] == ["request", "request", "shut", "shut"]
-    noted.transactions.received(0, incoming("ACK", "z9hG4bKnew"), PEER)
-    assert noted.told[-1][0] == "ack"
+        recorder.transactions.received(0, incoming(branch=f"z9hG4bK{number}"), PEER)
+    assert [entry[0] for entry in recorder.reported] == ["request", "request", "limit", "limit"]
+    recorder.transactions.received(0, incoming("ACK", "z9hG4bKnew"), PEER)
+    assert recorder.reported[-1][0] == "ack"
 
 
-def test_requests_of_old_stacks_are_told_apart_without_the_cookie():
-    noted = Noted()
+def test_requests_without_the_magic_cookie_are_matched_as_in_rfc_2543():
+    recorder = Recorder()
     for branch in ("1", "1"):
-        noted.transactions.received(0, incoming(branch=branch), PEER)
+        recorder.transactions.received(0, incoming(branch=branch), PEER)
     other = incoming(branch="1")
     other.put("Call-ID", "other")
-    noted.transactions.received(0, other, PEER)
-    assert [entry[0] for entry in noted.told] == ["request", "request"]
+    recorder.transactions.received(0, other, PEER)
+    assert [entry[0] for entry in recorder.reported] == ["request", "request"]
 
 
-def test_a_response_of_others_is_dropped():
-    noted = Noted()
-    client = client_of(noted)
+def test_a_response_to_another_element_is_dropped():
+    recorder = Recorder()
+    client = client_of(recorder)
     message = response(client.request, 200, "t")
     message.replace_first("Via", "SIP/2.0/UDP 127.0.0.9:5000;branch=z9hG4bKc")
-    noted.transactions.received(0, message, PEER)
-    assert not noted.told
+    recorder.transactions.received(0, message, PEER)
+    assert not recorder.reported
 
 
-def test_the_source_is_noted_where_via_says_otherwise():
-    noted = Noted()
+def test_the_source_is_added_to_a_via_that_differs_from_it():
+    recorder = Recorder()
     message = incoming()
     message.replace_first("Via", "SIP/2.0/UDP inside.example:5060;rport;branch=z9hG4bKr")
-    noted.transactions.received(0, message, Hop("UDP", "127.0.0.1", 6123))
-    server = noted.told[0][1]
+    recorder.transactions.received(0, message, Hop("UDP", "127.0.0.1", 6123))
+    server = recorder.reported[0][1]
     assert server.request.all("Via") == ["SIP/2.0/UDP inside.example:5060;branch=z9hG4bKr;rport=6123;received=127.0.0.1"]
     assert server.hop == Hop("UDP", "127.0.0.1", 6123)
 
 
-class AnyOrder(RuleBasedStateMachine):
-    """One INVITE through a client and a server machine joined by a network that loses, repeats and reorders; requests,
-    answers, cancels and time in any order. Seen from outside: one kind of final answer, nothing after it but itself,
-    and nothing left over once all timers have run out."""
+class TransactionMachine(RuleBasedStateMachine):
+    """One INVITE through a client and a server transaction over a network that loses, duplicates and reorders.
+
+    Requests, responses, CANCELs and timers in any order must lead to one final status, repeated but never followed by
+    another, and to no state left once all timers have fired.
+    """
 
     @initialize(stream=st.booleans(), seed=st.integers(0, 999))
     def start(self, stream, seed):
-        self.now, self.draw = 0, random.Random(seed)
-        self.up, self.down = [], []  # on their way to the server, to the client
-        self.far, self.near = Noted(), Noted()
-        self.near.transactions.sent_by, self.far.transactions.sent_by = ("127.0.0.1", 6000), ("127.0.0.1", 7000)
-        self.near.transmit = lambda data, hop: self.up.append(data)
-        self.near.transactions.transport = self.near
-        self.far.transmit = lambda data, hop: self.down.append(data)
-        self.far.transactions.transport = self.far
+        self.now, self.rng = 0, random.Random(seed)
+        self.to_server, self.to_client = [], []  # in flight to the server, to the client
+        self.server_end, self.client_end = Recorder(), Recorder()
+        self.client_end.transactions.sent_by, self.server_end.transactions.sent_by = ("127.0.0.1", 6000), ("127.0.0.1", 7000)
+        self.client_end.transmit = lambda data, hop: self.to_server.append(data)
+        self.client_end.transactions.transport = self.client_end
+        self.server_end.transmit = lambda data, hop: self.to_client.append(data)
+        self.server_end.transactions.transport = self.server_end
         self.hop = Hop("TCP" if stream else "UDP", "127.0.0.1", 7000)
-        self.client = self.near.transactions.request(0, request(), self.hop, "z9hG4bKone")
+        self.client = self.client_end.transactions.request(0, request(), self.hop, "z9hG4bKone")
         self.finals_sent = []
 
     @rule(lose=st.booleans(), repeat=st.booleans())
-    def carry_up(self, lose, repeat):
-        self._carry(self.up, self.far, Hop(self.hop.transport, "127.0.0.1", 6000), lose, repeat)
+    def deliver_to_server(self, lose, repeat):
+        self._deliver(self.to_server, self.server_end, Hop(self.hop.transport, "127.0.0.1", 6000), lose, repeat)
 
     @rule(lose=st.booleans(), repeat=st.booleans())
-    def carry_down(self, lose, repeat):
-        self._carry(self.down, self.near, self.hop, lose, repeat)
+    def deliver_to_client(self, lose, repeat):
+        self._deliver(self.to_client, self.client_end, self.hop, lose, repeat)
 
-    def _carry(self, queue, end, hop, lose, repeat):
+    def _deliver(self, queue, end, hop, lose, repeat):
         if not queue:
             return
-        data = queue.pop(self.draw.randrange(len(queue)) if self.hop.transport == "UDP" else 0)
+        data = queue.pop(self.rng.randrange(len(queue)) if self.hop.transport == "UDP" else 0)
         for _ in range(0 if lose and self.hop.transport == "UDP" else 2 if repeat else 1):
             end.transactions.received(self.now, parse(data), hop)
 
     def _server(self):
-        return next((what for kind, what in self.far.told if kind == "request" and what.method == "INVITE"), None)
+        return next(
+            (subject for event, subject in self.server_end.reported if event == "request" and subject.method == "INVITE"), None
+        )
 
     @rule(status=st.sampled_from([100, 180, 200, 200, 404, 487, 503]))
     def respond(self, status):
@@ -287,53 +291,54 @@
         if server is not None and server.request is not None:
             if status >= 200 and not self.finals_sent:
                 self.finals_sent.append(status)
-            self.far.transactions.respond(self.now, server, response(server.request, status, "t"))
+            self.server_end.transactions.respond(self.now, server, response(server.request, status, "t"))
 
     @rule()
     def cancel(self):
-        self.near.transactions.cancel(self.now, self.client)
+        self.client_end.transactions.cancel(self.now, self.client)
 
     @rule(span=st.sampled_from([50, 1_000, 5_000, 40_000]))
     def pass_time(self, span):
         for _ in range(10):
             self.now += span // 10
-            self.near.transactions.fire_timers(self.now)
-            self.far.transactions.fire_timers(self.now)
+            self.client_end.transactions.fire_timers(self.now)
+            self.server_end.transactions.fire_timers(self.now)
 
     @invariant()
-    def one_kind_of_final(self):
-        if not hasattr(self, "far"):
+    def one_final_status(self):
+        if not hasattr(self, "server_end"):
             return
-        told = {status for status, _ in self.near.told if type(status) is int and status >= 200}
-        assert len(told) <= 1 and told <= set(self.finals_sent)
+        final_statuses = {status for status, _ in self.client_end.reported if type(status) is int and status >= 200}
+        assert len(final_statuses) <= 1 and final_statuses <= set(self.finals_sent)
         ends = [
-            kind
-            for kind, what in self.near.told
-            if what is self.client and (type(kind) is ClientFailure or type(kind) is int and kind >= 300)
+            event
+            for event, subject in self.client_end.reported
+            if subject is self.client and (type(event) is ClientFailure or type(event) is int and event >= 300)
         ]
         assert len(ends) <= 1
         assert (
-            len([1 for kind, what in self.far.told if kind == "request" and what.method == "INVITE"]) <= 1 or self.now > 64 * T1
-        )  # a copy may come after all was forgotten
+            len([1 for event, subject in self.server_end.reported if event == "request" and subject.method == "INVITE"]) <= 1
+            or self.now > 64 * T1
+        )  # a copy may arrive after the server transaction has ended
 
     def teardown(self):
-        if not hasattr(self, "far"):
+        if not hasattr(self, "server_end"):
             return
-        self.up.clear()
-        self.down.clear()
+        self.to_server.clear()
+        self.to_client.clear()
         for _ in range(3):
             self.pass_time(700_000)
-        assert not self.near.transactions.clients
-        for server in self.far.transactions.servers.values():
-            assert server.state in (TransactionState.TRYING, TransactionState.PROCEEDING)  # it waits for its user, nobody else
-        assert self.near.transactions.next_timer() is None and self.far.transactions.next_timer() is None
+        assert not self.client_end.transactions.clients
+        for server in self.server_end.transactions.servers.values():
+            assert server.state in (TransactionState.TRYING, TransactionState.PROCEEDING)  # waits for a response of its user
+        assert self.client_end.transactions.next_timer() is None and self.server_end.transactions.next_timer() is None
 
 
-TestAnyOrder = AnyOrder.TestCase
-TestAnyOrder.settings = settings(max_examples=80, stateful_step_count=40, derandomize=True, deadline=None)
+TestTransactionMachine = TransactionMachine.TestCase
+TestTransactionMachine.settings = settings(max_examples=80, stateful_step_count=40, derandomize=True, deadline=None)
 
 
-def test_a_dialog_keeps_route_target_and_numbers():
+def test_requests_in_a_dialog_have_its_route_target_and_sequence_numbers():
     answer = Message(
         status=200,
         fields=[
@@ -357,12 +362,12 @@
     assert next_hop(dialog.request("BYE")) == Hop("TCP", "127.0.0.1", 9)
 
 
-def test_a_2xx_without_contact_makes_no_dialog():
+def test_a_2xx_without_contact_is_rejected():
     with pytest.raises(BadMessageError):
         SipDialog.from_response(Message(status=200, fields=[("CSeq", "1 INVITE")]))
 
 
-def test_requests_out_of_order_within_a_dialog_are_seen():
+def test_requests_out_of_order_in_a_dialog_are_rejected():
     invite = request()
     invite.fields.append(("Contact", "<sip:a@h>"))
     dialog = SipDialog.from_request(invite, "t")
