--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -939,9 +939,9 @@
         self.audit.add(record.leg_number, record.since, call.index, record.width)
         self._count("remembered")
 
-    def save_learned(self, now: int, most_callers: int) -> None:
-        """Store what the decision module has learned, with at most `most_callers` callers."""
-        self.memory.learned(self._wall_time(now), self.controller.learned(now, most_callers), self.exchange_ids)
+    def save_learned(self, now: int, max_callers: int) -> None:
+        """Store what the decision module has learned, with at most `max_callers` callers."""
+        self.memory.learned(self._wall_time(now), self.controller.learned(now, max_callers), self.exchange_ids)
         self.memory.forgotten(self._wall_time(now))
 
     def _wall_time(self, now: int) -> float:
--- a/gingergap/edge/proxy_store.py
+++ b/gingergap/edge/proxy_store.py
@@ -1,6 +1,7 @@
-"""Joins the store to one running proxy: opens it before the proxy is made, writes while it runs, off the decision path.
+"""Connects the store to a running proxy: it is read before the proxy is built and written in the background.
 
-A store that can't be opened or written costs memory, never calls: the log says why once, and the proxy goes on.
+If the store can't be opened or written, the reason is logged once and the proxy serves calls without it: only the state
+that would survive a restart is lost.
 """
 
 import time
@@ -15,149 +16,162 @@
 from ..store.records import CALLER, KeptAlive
 from .proxy import EdgeProxy
 
-UNIT = 10_000
-BOOT = Path("/proc/sys/kernel/random/boot_id")
+UNITS_PER_SECOND = 10_000
+BOOT_ID_PATH = Path("/proc/sys/kernel/random/boot_id")
 
 
-def boot_id() -> str:
-    """Which boot of the machine this is; empty where it does not tell."""
+def read_boot_id() -> str:
+    """The id of the machine's current boot; empty if the kernel does not provide it."""
     try:
-        return BOOT.read_text().strip()
+        return BOOT_ID_PATH.read_text().strip()
     except OSError:
         return ""
 
 
 class ProxyStore:
-    """`folder` is the store's. Spans in seconds. `apart` runs a function away from the event loop and returns its result."""
+    """The store of one proxy.
+
+    `list_validity`, `max_dialog_age` and `caller_retention` are in seconds, `importances` are by traffic type.
+    `run_in_thread` runs a function outside the event loop and returns its result.
+    """
 
     def __init__(
         self,
         folder: Path,
         instance: str,
         log: Any,
-        worths: list[float],
+        importances: list[float],
         *,
-        word_lasts: float,
-        longest_dialog: float,
-        caller_lasts: float,
-        most_callers: int,
-        apart: Callable[..., Any],
+        list_validity: float,
+        max_dialog_age: float,
+        caller_retention: float,
+        max_callers: int,
+        run_in_thread: Callable[..., Any],
     ) -> None:
-        self.folder, self.instance, self.log, self.apart = folder, instance, log, apart
-        self.word_lasts, self.longest_dialog, self.caller_lasts = word_lasts, longest_dialog, caller_lasts
-        self.most_callers = most_callers
-        self.memory = Memory(word_lasts, most_callers, worths)
+        self.folder, self.instance, self.log, self.run_in_thread = folder, instance, log, run_in_thread
+        self.list_validity, self.max_dialog_age, self.caller_retention = list_validity, max_dialog_age, caller_retention
+        self.max_callers = max_callers
+        self.memory = Memory(list_validity, max_callers, importances)
         self.book: Book | None = None
-        self.boot, self.began = boot_id(), time.time()
+        self.boot_id, self.started_at = read_boot_id(), time.time()
         self.proxy: EdgeProxy | None = None
         self.clock: Callable[[], int] = lambda: 0
-        self.counters: Callable[[], dict[str, int]] = dict  # of tokens, where duties are shared
-        self.one_at_a_time = BoundedSemaphore(1)
-        self.acknowledged = self.batches = self.failures = self.written = self.evicted = 0
-        self.troubled = False
+        self.token_counters: Callable[[], dict[str, int]] = dict  # of the duties' tokens; empty without coordination
+        self.write_lock = BoundedSemaphore(1)
+        self.records_written = self.batches = self.failures = self.bytes_written = self.evicted = 0
+        self.write_failing = False
         self.read_ms = 0.0
 
     def open(self) -> Recalled | None:
-        """What the process before knew; none where there is no store to be had, and then there is no memory either."""
-        began = time.perf_counter()
+        """Read the state of the previous process; None if the store can't be opened, and then nothing is stored."""
+        started_at = time.perf_counter()
         try:
             self.book = Book(self.folder)
             found = recalled(
                 self.book.items,
                 time.time(),
                 time.monotonic(),
-                self.boot,
-                word_lasts=self.word_lasts,
-                longest_dialog=self.longest_dialog,
-                caller_lasts=self.caller_lasts,
+                self.boot_id,
+                word_lasts=self.list_validity,
+                longest_dialog=self.max_dialog_age,
+                caller_lasts=self.caller_retention,
                 damage=self.book.damage,
             )
-        except BadStoreError as bad:
-            self.log.error("store-not-open", why=str(bad))
+        except BadStoreError as error:
+            self.log.error("store-not-open", why=str(error))
             self.book = None
             return None
-        self.read_ms = (time.perf_counter() - began) * 1000
-        for line in self.book.damage[:20]:
-            self.log.warning("store-damaged", what=line)
+        self.read_ms = (time.perf_counter() - started_at) * 1000
+        for damage in self.book.damage[:20]:
+            self.log.warning("store-damaged", what=damage)
         self.log.info(
             "recalled",
-            age_s=found.age / UNIT,
+            age_s=found.age / UNITS_PER_SECOND,
             exchanges=len(found.ids),
             standing=len(found.standing),
             callers=len(found.learned.callers),
             ms=round(self.read_ms, 1),
         )
-        self._carry_on(found)
+        self._mark_written(found)
         return found
 
-    def _carry_on(self, found: Recalled) -> None:
-        """What is in the book is known to be: it is compared with, and taken out when it is over."""
+    def _mark_written(self, found: Recalled) -> None:
+        """Tell the memory which records exist, so that it writes only changes and deletes records that are obsolete."""
         self.memory.words.update(found.words)
         for item in self.book.items("exchange"):
             self.memory.words.setdefault(item.key, word_of(item.body))
         for item in self.book.items("pair"):
             self.memory.kept["pair", item.key] = b""
 
-    def start(self, proxy: EdgeProxy, work: Any, clock: Callable[[], int], *, every: float, learn_every: float) -> None:
-        """Begin the background tasks. `work` is the proxy's LocalWork."""
+    def start(self, proxy: EdgeProxy, work: Any, clock: Callable[[], int], *, write_interval: float, learn_interval: float) -> None:
+        """Start the background tasks on `work`, the proxy's LocalWork; intervals in seconds."""
         self.proxy, self.clock = proxy, clock
         work.add_sweep(
             "store changes",
             self.write,
-            period=round(every * UNIT),
-            limit=round(10 * every * UNIT),
+            period=round(write_interval * UNITS_PER_SECOND),
+            limit=round(10 * write_interval * UNITS_PER_SECOND),
             kind="store",
-            deadline=60 * UNIT,
+            deadline=60 * UNITS_PER_SECOND,
         )
         work.add_sweep(
             "store what was learned",
             self.learn,
-            period=round(learn_every * UNIT),
-            limit=round(4 * learn_every * UNIT),
+            period=round(learn_interval * UNITS_PER_SECOND),
+            limit=round(4 * learn_interval * UNITS_PER_SECOND),
+            kind="store",
+        )
+        work.add_sweep(
+            "store eviction",
+            self.evict,
+            period=60 * UNITS_PER_SECOND,
+            limit=600 * UNITS_PER_SECOND,
             kind="store",
+            deadline=60 * UNITS_PER_SECOND,
         )
-        work.add_sweep("store eviction", self.evict, period=60 * UNIT, limit=600 * UNIT, kind="store", deadline=60 * UNIT)
 
     # --- tasks ---
 
     def learn(self) -> bool:
-        self.proxy.save_learned(self.clock(), self.most_callers)
-        for duty, counter in self.counters().items():
+        """Collect what the decision module has learned and the duties' token counters."""
+        self.proxy.save_learned(self.clock(), self.max_callers)
+        for duty, counter in self.token_counters().items():
             self.memory.token(duty, counter)
         return True
 
     def write(self) -> bool:
-        """Everything that has changed, as one batch; whether it is on the disk."""
-        with self.one_at_a_time:
-            alive = KeptAlive(time.time(), time.monotonic(), self.boot, self.instance, self.began)
+        """Write all changes as one batch; True if it is on the disk. A failed batch is written again later."""
+        with self.write_lock:
+            alive = KeptAlive(time.time(), time.monotonic(), self.boot_id, self.instance, self.started_at)
             changes = self.memory.batch(alive)
             try:
-                self.written += self.apart(self.book.commit, changes)
-            except BadStoreError as bad:
+                self.bytes_written += self.run_in_thread(self.book.commit, changes)
+            except BadStoreError as error:
                 self.memory.not_written(changes)
                 self.failures += 1
-                if not self.troubled:
-                    self.troubled = True
-                    self.log.warning("store-not-written", why=str(bad))
+                if not self.write_failing:
+                    self.write_failing = True
+                    self.log.warning("store-not-written", why=str(error))
                 return False
-            self.acknowledged += len(changes)
+            self.records_written += len(changes)
             self.batches += 1
-            if self.troubled:
-                self.troubled = False
+            if self.write_failing:
+                self.write_failing = False
                 self.log.info("store-goes-on", failures=self.failures)
             return True
 
     def evict(self) -> bool:
-        with self.one_at_a_time:
+        """Delete the oldest caller records beyond the limit; False if that failed."""
+        with self.write_lock:
             try:
-                self.evicted += self.apart(self.book.evict, CALLER, self.most_callers)
+                self.evicted += self.run_in_thread(self.book.evict, CALLER, self.max_callers)
             except Exception as error:
                 self.log.warning("store-not-evicted", why=str(error))
                 return False
         return True
 
     def close(self) -> None:
-        """An orderly end: all that is known is written."""
+        """Write everything and close the store."""
         if self.book is None:
             return
         if self.proxy is not None:
@@ -166,12 +180,12 @@
         self.book.close()
 
     def figures(self) -> dict[str, Any]:
-        """For operators."""
+        """Figures for operators."""
         return {
             "folder": str(self.folder),
             "batches": self.batches,
-            "records": self.acknowledged,
-            "bytes": self.written,
+            "records": self.records_written,
+            "bytes": self.bytes_written,
             "failures": self.failures,
             "waiting": len(self.memory.pending),
             "evicted": self.evicted,
--- a/gingergap/edge/serve.py
+++ b/gingergap/edge/serve.py
@@ -156,13 +156,13 @@
             self._open_coordination({} if recalled is None else recalled.tokens)
             if self.store is not None:
                 if self.coordination is not None:
-                    self.store.counters = self.coordination.keeper.counters
+                    self.store.token_counters = self.coordination.keeper.counters
                 self.store.start(
                     self.proxy,
                     self.work,
                     clock,
-                    every=self.form.store.every_ms / 1000,
-                    learn_every=self.form.store.learn_every_ms / 1000,
+                    write_interval=self.form.store.every_ms / 1000,
+                    learn_interval=self.form.store.learn_every_ms / 1000,
                 )
             self._open_control()
             self._open_trace()
@@ -197,11 +197,11 @@
             self.form.name,
             self.log,
             [entry.importance for entry in self.form.traffic_type],
-            word_lasts=form.word_lasts_s,
-            longest_dialog=self.form.longest_dialog_s,
-            most_callers=form.most_callers,
-            caller_lasts=max(entry.no_answer_time_ms for entry in self.form.traffic_type) / 1000,
-            apart=self._run_in_thread,
+            list_validity=form.word_lasts_s,
+            max_dialog_age=self.form.longest_dialog_s,
+            max_callers=form.most_callers,
+            caller_retention=max(entry.no_answer_time_ms for entry in self.form.traffic_type) / 1000,
+            run_in_thread=self._run_in_thread,
         )
         recalled = self.store.open()
         if self.store.book is None:
