--- a/gingergap/edge/serve.py
+++ b/gingergap/edge/serve.py
@@ -149,7 +149,7 @@
             clock,
             self.log,
             lambda: self.load,
-            budget_bytes=self.form.background_ms_per_s,
+            budget=self.form.background_ms_per_s,
             longest_dialog=round(self.form.longest_dialog_s * UNITS_PER_SECOND),
         )
         try:
@@ -228,7 +228,7 @@
             address=addresses[self.form.name],
             listen=listen_addresses[self.form.name],
             key=form.key.encode(),
-            addresses=addresses,
+            everybody=addresses,
             weight=form.weight,
             period=to_units(form.period_ms),
             lasts=to_units(form.lease_ms),
