--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -1,7 +1,7 @@
-"""Joins membership, duties and the background scheduler to one running proxy.
+"""Connects membership, shared duties and the background scheduler to a running proxy.
 
-Off unless the settings have a `(coordination ...)` part. Nothing here is a decision on calls: what duties bring is kept
-beside the module with its age (`learned`), shown to operators, and never reaches brain.py.
+Coordination is off unless the settings have a `(coordination ...)` part. It does not influence routing: the figures that
+duties produce are kept with their age (`learned`) and shown to operators, but never passed to the decision module.
 """
 
 import secrets
@@ -27,26 +27,30 @@
 from .proxy import DUTY_FIELD, EdgeProxy
 
 SECOND = 10_000
-STEP = 0.025  # seconds between looks at what is due
-PROBE_TIMEOUT = 1.5  # seconds
+STEP_SECONDS = 0.025
+PROBE_TIMEOUT_SECONDS = 1.5
 
 
 class LocalWork:
-    """Background tasks that every proxy does for itself, coordinated or not."""
+    """The background tasks that every proxy runs for itself, with or without coordination.
+
+    `load` returns the share of CPU time that calls take. `budget` is in ms of work a second, `max_dialog_age` in tenths
+    of a millisecond.
+    """
 
     def __init__(
-        self, proxy: EdgeProxy, clock: Callable[[], int], log: Any, load: Callable[[], float], *, budget: float, longest_dialog: int
+        self, proxy: EdgeProxy, clock: Callable[[], int], log: Any, load: Callable[[], float], *, budget: float, max_dialog_age: int
     ) -> None:
         self.proxy, self.clock = proxy, clock
         self.plan = Background(
             Random(secrets.randbits(64)), {"duties": WorkClass(budget), "sweeps": WorkClass(budget), "store": WorkClass(budget)}
         )
-        self.runner = Runner(self.plan, clock, load, log, self._over)
-        self.over: Callable[[str, bool], None] = lambda name, done: None
+        self.runner = Runner(self.plan, clock, load, log, self._finished)
+        self.task_finished: Callable[[str, bool], None] = lambda name, done: None
         self.runner.add(
             "sweep dialogs",
             "sweeps",
-            lambda: self._sweep(longest_dialog),
+            lambda: self._end_expired_dialogs(max_dialog_age),
             period=5 * SECOND,
             limit=60 * SECOND,
             first_in=5 * SECOND,
@@ -55,22 +59,27 @@
     def add_sweep(
         self, name: str, run: Callable[[], bool], *, period: int, limit: int, kind: str = "sweeps", deadline: int | None = None
     ) -> None:
-        """Housekeeping of another part of this process; `run` says whether it was done."""
+        """Add a periodic housekeeping task; `run` returns whether it succeeded. Times in tenths of a millisecond."""
         self.runner.add(name, kind, run, period=period, limit=limit, first_in=period, deadline=deadline)
 
-    def _over(self, name: str, done: bool) -> None:
-        self.over(name, done)
+    def _finished(self, name: str, done: bool) -> None:
+        self.task_finished(name, done)
 
-    def _sweep(self, longest_dialog: int) -> bool:
-        """Dialogs that have stood past any sense: both ends died without a word."""
-        for dialog in self.proxy.dialogs_before(self.clock() - longest_dialog):
+    def _end_expired_dialogs(self, max_dialog_age: int) -> bool:
+        """End dialogs older than any real call: both ends failed without sending BYE."""
+        for dialog in self.proxy.dialogs_before(self.clock() - max_dialog_age):
             self.proxy.drop_dialog(self.clock(), dialog)
             gevent.sleep(0)
         return True
 
 
 class Coordination:
-    """Host of `Members` and of the `Keeper`. `everybody` maps each configured member's name to its address."""
+    """Host of `Members` and `Keeper`.
+
+    `address` is how other members reach this one, `listen` the local address. `member_addresses` maps the name of each
+    configured member to its address. `period`, `lease_duration`, `probe_period` and `probe_limit` are in tenths of a
+    millisecond.
+    """
 
     def __init__(
         self,
@@ -83,18 +92,18 @@
         address: str,
         listen: str,
         key: bytes,
-        everybody: dict[str, str],
+        member_addresses: dict[str, str],
         weight: int,
         period: int,
-        lasts: int,
-        probe_every: int,
+        lease_duration: int,
+        probe_period: int,
         probe_limit: int,
         tokens: dict[str, int] | None = None,
     ) -> None:
         self.proxy, self.work, self.clock, self.log, self.name = proxy, work, clock, log, name
-        self.everybody = everybody
+        self.member_addresses = member_addresses
         life = time.time_ns() // 1_000_000 << 8 | secrets.randbits(8)
-        self.datagrams = Datagrams(parse_host_port(listen), Sealer(key, name, life), self._got)
+        self.datagrams = Datagrams(parse_host_port(listen), Sealer(key, name, life), self._handle_datagram)
         now = clock()
         self.members = Members(
             self,
@@ -106,34 +115,34 @@
             weight,
             period=period,
             timeout=period * 3 // 10,
-            seeds=tuple(everybody.values()),
+            seeds=tuple(member_addresses.values()),
             sync_every=10 * period,
         )
-        duties = [Duty(f"probe {exchange}", probe_every, probe_limit, cost=0.5) for exchange in proxy.exchange_ids]
-        duties.append(Duty("check list", 2 * probe_every, 2 * probe_limit, cost=0.2, worth=2.0, once=False))
+        duties = [Duty(f"probe {exchange}", probe_period, probe_limit, cost=0.5) for exchange in proxy.exchange_ids]
+        duties.append(Duty("check list", 2 * probe_period, 2 * probe_limit, cost=0.2, worth=2.0, once=False))
         self.keeper = Keeper(
             self,
             Random(secrets.randbits(64)),
             now,
             name,
             life,
-            frozenset(everybody),
+            frozenset(member_addresses),
             duties,
-            lasts=lasts,
+            lasts=lease_duration,
             settle=2 * period,
             patience=period,
         )
         for duty, counter in (tokens or {}).items():
             self.keeper.recall(duty, counter)
-        self.learned: dict[str, tuple[float, int, str]] = {}  # what: value, when by the own clock, who learned it
-        self.runs: dict[str, int] = {}
-        work.over = self._run_over
+        self.learned: dict[str, tuple[float, int, str]] = {}  # name of a figure to its value, time by the own clock and source
+        self.run_counts: dict[str, int] = {}
+        work.task_finished = self._duty_run_finished
         self.greenlet: gevent.Greenlet | None = None
-        self.refused: set[str] = set()  # duties whose run found that they are not ours: neither done nor failed
+        self.not_held: set[str] = set()  # duties whose run found that the lease is lost: neither done nor failed
 
     def open(self) -> None:
         self.datagrams.open()
-        self.greenlet = gevent.spawn(self._steps)
+        self.greenlet = gevent.spawn(self._run_loop)
 
     def close(self) -> None:
         if self.greenlet is not None:
@@ -141,52 +150,52 @@
         self.datagrams.close()
 
     def leave(self) -> None:
-        """Hand everything over and say good-bye; steps go on until `close`, so that the word spreads."""
+        """Release all duties and leave the membership; the loop runs until `close`, so that others are informed."""
         self.keeper.leave(self.clock())
         self.members.leave(self.clock())
 
-    def _steps(self) -> None:
-        steps = 0
+    def _run_loop(self) -> None:
+        step_count = 0
         while True:
-            gevent.sleep(STEP)
+            gevent.sleep(STEP_SECONDS)
             now = self.clock()
             self.members.due(now)
-            steps += 1
-            if steps % 4 == 0:
+            step_count += 1
+            if step_count % 4 == 0:
                 self.keeper.due(now, self.members.present())
 
     # --- datagrams ---
 
-    def _got(self, kind: int, sender: str, life: int, address: str, body: bytes) -> None:
+    def _handle_datagram(self, kind: int, sender: str, life: int, address: str, body: bytes) -> None:
         now = self.clock()
         try:
             if kind == MEMBERSHIP:
                 self.members.received(now, sender, life, address, swim.DECODER.decode(body))
-            elif kind == DUTIES and sender in self.everybody:
-                self._heard(now, sender, address, messages.DECODER.decode(body))
+            elif kind == DUTIES and sender in self.member_addresses:
+                self._handle_duty_message(now, sender, address, messages.DECODER.decode(body))
         except msgspec.MsgspecError:
             self.datagrams.counts["refused: form"] = self.datagrams.counts.get("refused: form", 0) + 1
 
-    def _heard(self, now: int, sender: str, address: str, message: Any) -> None:
+    def _handle_duty_message(self, now: int, sender: str, address: str, message: Any) -> None:
         match message:
-            case messages.Ask(duty, counter, holder, lasts, done_ago):
-                granted, newest = self.keeper.asked(now, duty, Token(counter, holder), lasts, done_ago)
-                self._tell(sender, address, messages.Vote(duty, counter, granted, newest))
+            case messages.Ask(duty, counter, holder, lease_duration, done_ago):
+                granted, newest = self.keeper.asked(now, duty, Token(counter, holder), lease_duration, done_ago)
+                self._send_duty_message(sender, address, messages.Vote(duty, counter, granted, newest))
             case messages.Vote(duty, counter, granted, newest):
                 self.keeper.voted(now, sender, duty, counter, granted, newest, self.members.present())
             case messages.Release(duty, counter, holder):
                 self.keeper.released(now, duty, Token(counter, holder))
-            case messages.Learned(duty, _, _, what, value, age):
-                self._learn(now - max(0, age), duty, what, value, sender)
+            case messages.Learned(duty, _, _, figure, value, age):
+                self._record_figure(now - max(0, age), duty, figure, value, sender)
 
-    def _tell(self, name: str, address: str, message: Any) -> None:
+    def _send_duty_message(self, name: str, address: str, message: Any) -> None:
         self.datagrams.send(name, address, DUTIES, messages.ENCODER.encode(message))
 
-    def _tell_all(self, message: Any) -> None:
-        for name, address in self.everybody.items():
+    def _broadcast_duty_message(self, message: Any) -> None:
+        for name, address in self.member_addresses.items():
             if name != self.name:
                 member = self.members.others.get(name)
-                self._tell(name, member.address if member is not None else address, message)
+                self._send_duty_message(name, member.address if member is not None else address, message)
 
     # --- host of Members ---
 
@@ -204,18 +213,18 @@
 
     # --- host of the Keeper ---
 
-    def ask(self, duty: str, token: Token, lasts: int, done_ago: int) -> None:
-        self._tell_all(messages.Ask(duty, token.counter, token.holder, lasts, done_ago))
+    def ask(self, duty: str, token: Token, lease_duration: int, done_ago: int) -> None:
+        self._broadcast_duty_message(messages.Ask(duty, token.counter, token.holder, lease_duration, done_ago))
 
     def release(self, duty: str, token: Token) -> None:
-        self._tell_all(messages.Release(duty, token.counter, token.holder))
+        self._broadcast_duty_message(messages.Release(duty, token.counter, token.holder))
 
     def begin(self, duty: Duty, token: Token, first_in: int) -> None:
         self.log.info("duty-ours", duty=duty.name, counter=token.counter)
         self.work.runner.add(
             duty.name,
             "duties",
-            lambda: self._run(duty),
+            lambda: self._run_duty(duty),
             period=duty.period,
             limit=duty.limit,
             cost=duty.cost,
@@ -230,17 +239,17 @@
 
     # --- duties ---
 
-    def _run(self, duty: Duty) -> bool:
+    def _run_duty(self, duty: Duty) -> bool:
         if not self.keeper.may_act(self.clock(), duty.name):
-            self.refused.add(duty.name)  # the lease ran out just now: no failure of ours to stand aside for
+            self.not_held.add(duty.name)  # the lease has just expired: not a failure, so no back-off
             return False
-        self.runs[duty.name] = self.runs.get(duty.name, 0) + 1
-        kind, _, about = duty.name.partition(" ")
-        return self._probe(duty, about) if kind == "probe" else self._check_list(duty)
+        self.run_counts[duty.name] = self.run_counts.get(duty.name, 0) + 1
+        kind, _, subject = duty.name.partition(" ")
+        return self._probe(duty, subject) if kind == "probe" else self._check_list(duty)
 
-    def _run_over(self, name: str, done: bool) -> None:
-        if name in self.refused:
-            self.refused.discard(name)
+    def _duty_run_finished(self, name: str, done: bool) -> None:
+        if name in self.not_held:
+            self.not_held.discard(name)
         elif name in self.keeper.held:
             if done:
                 self.keeper.done(self.clock(), name)
@@ -248,17 +257,19 @@
                 self.keeper.failed(self.clock(), name)
 
     def _probe(self, duty: Duty, exchange: str) -> bool:
-        """OPTIONS to an exchange, under the lease's token; its answer time is shared. One that does not answer has been
-        probed all the same."""
+        """Send OPTIONS to an exchange with the lease's fencing token, and share its response time.
+
+        An exchange that does not respond counts as probed, with a response time of -1.
+        """
         gw = self.proxy.gw_by_id.get(exchange)
         hop = self.proxy.hops[gw] if gw is not None else None
         if hop is None:
             return True
         token = self.keeper.token_of(duty.name)
-        answer, began = AsyncResult(), self.clock()
-        self.proxy.probe(began, hop, answer.set, f"{exchange};counter={token.counter};holder={token.holder}")
+        answer, sent_at = AsyncResult(), self.clock()
+        self.proxy.probe(sent_at, hop, answer.set, f"{exchange};counter={token.counter};holder={token.holder}")
         try:
-            message = answer.get(timeout=PROBE_TIMEOUT)
+            message = answer.get(timeout=PROBE_TIMEOUT_SECONDS)
         except gevent.Timeout:
             message = None
         if message is not None and message.status == 412:
@@ -267,35 +278,35 @@
                 (int(part[8:]) for part in newest.split(";") if part.startswith("counter=") and part[8:].isdigit()),
                 token.counter + 1,
             )
-            self.refused.add(duty.name)
+            self.not_held.add(duty.name)
             self.keeper.refused(self.clock(), duty.name, Token(counter, ""))
             return False
-        took = -1.0 if message is None else (self.clock() - began) / 10
-        self._share(duty, token, f"answer ms of {exchange}", took)
+        answer_ms = -1.0 if message is None else (self.clock() - sent_at) / 10
+        self._share_figure(duty, token, f"answer ms of {exchange}", answer_ms)
         return True
 
     def _check_list(self, duty: Duty) -> bool:
-        """Which version of the list we hold; who holds an older one of the same epoch asks for it anew."""
+        """Share the version of the own exchange list; members with an older one of the same epoch request it."""
         subscription = self.proxy.subscribers["exchange-list"].subscription
         if subscription.version >= 0:
-            self._share(duty, self.keeper.token_of(duty.name), f"list {subscription.epoch}", float(subscription.version))
+            self._share_figure(duty, self.keeper.token_of(duty.name), f"list {subscription.epoch}", float(subscription.version))
         return True
 
-    def _share(self, duty: Duty, token: Token, what: str, value: float) -> None:
+    def _share_figure(self, duty: Duty, token: Token, figure: str, value: float) -> None:
         now = self.clock()
-        self._learn(now, duty.name, what, value, self.name)
-        self._tell_all(messages.Learned(duty.name, token.counter, token.holder, what, value, self.clock() - now))
+        self._record_figure(now, duty.name, figure, value, self.name)
+        self._broadcast_duty_message(messages.Learned(duty.name, token.counter, token.holder, figure, value, self.clock() - now))
 
-    def _learn(self, at: int, duty: str, what: str, value: float, who: str) -> None:
-        held = self.learned.get(what)
-        if held is None or held[1] <= at:
-            self.learned[what] = value, at, who
+    def _record_figure(self, at: int, duty: str, figure: str, value: float, source: str) -> None:
+        previous = self.learned.get(figure)
+        if previous is None or previous[1] <= at:
+            self.learned[figure] = value, at, source
             if len(self.learned) > 10_000:
                 del self.learned[next(iter(self.learned))]
-        if what.startswith("list "):
-            self.proxy.list_version_seen(self.clock(), what[5:], int(value))
+        if figure.startswith("list "):
+            self.proxy.list_version_seen(self.clock(), figure[5:], int(value))
 
-    # --- what operators see ---
+    # --- tables for operators ---
 
     def members_table(self) -> list[dict[str, Any]]:
         now = self.clock()
@@ -317,7 +328,7 @@
                 "since_s": round((now - member.since) / SECOND, 1),
                 "own": False,
             }
-            for member in sorted(self.members.others.values(), key=lambda one: one.name)
+            for member in sorted(self.members.others.values(), key=lambda member: member.name)
         ]
 
     def duties_table(self) -> list[dict[str, Any]]:
@@ -326,7 +337,7 @@
         for name, held in sorted(self.keeper.held.items()):
             grant = self.keeper.voter.grants.get(name)
             holder = grant.token.holder.partition("/")[0] if grant is not None and now < grant.until else ""
-            ago = (now - held.heard_done_at) / SECOND
+            since_done = (now - held.heard_done_at) / SECOND
             rows.append(
                 {
                     "duty": name,
@@ -334,9 +345,9 @@
                     "holder": self.name if held.since >= 0 else holder,
                     "counter": held.claim.counter if held.since >= 0 else grant.token.counter if grant else 0,
                     "mode": "once at most" if held.duty.once else "at least once",
-                    "done_ago_s": round(ago, 1),
-                    "overdue": ago * SECOND > held.duty.limit,
-                    "runs_here": self.runs.get(name, 0),
+                    "done_ago_s": round(since_done, 1),
+                    "overdue": since_done * SECOND > held.duty.limit,
+                    "runs_here": self.run_counts.get(name, 0),
                 }
             )
         return rows
@@ -344,6 +355,6 @@
     def learned_table(self) -> list[dict[str, Any]]:
         now = self.clock()
         return [
-            {"what": what, "value": value, "age_s": round((now - at) / SECOND, 1), "by": who}
-            for what, (value, at, who) in sorted(self.learned.items())
+            {"what": figure, "value": value, "age_s": round((now - at) / SECOND, 1), "by": source}
+            for figure, (value, at, source) in sorted(self.learned.items())
         ]
--- a/gingergap/edge/serve.py
+++ b/gingergap/edge/serve.py
@@ -150,7 +150,7 @@
             self.log,
             lambda: self.load,
             budget=self.form.background_ms_per_s,
-            longest_dialog=round(self.form.longest_dialog_s * UNITS_PER_SECOND),
+            max_dialog_age=round(self.form.longest_dialog_s * UNITS_PER_SECOND),
         )
         try:
             self._open_coordination({} if recalled is None else recalled.tokens)
@@ -228,11 +228,11 @@
             address=addresses[self.form.name],
             listen=listen_addresses[self.form.name],
             key=form.key.encode(),
-            everybody=addresses,
+            member_addresses=addresses,
             weight=form.weight,
             period=to_units(form.period_ms),
-            lasts=to_units(form.lease_ms),
-            probe_every=to_units(form.probe_every_ms),
+            lease_duration=to_units(form.lease_ms),
+            probe_period=to_units(form.probe_every_ms),
             probe_limit=to_units(form.probe_limit_ms),
             tokens=tokens,
         )
