--- a/gingergap/edge/circuits.py
+++ b/gingergap/edge/circuits.py
@@ -62,7 +62,7 @@
         group.doubted_free, group.doubted_until = width - 1, now + DOUBT_DURATION
 
     def expire_doubts(self, now: int) -> list[tuple[int, int, int]]:
-        """End the doubts that are over; returns number, free circuits and size of their groups."""
+        """End the expired doubts; returns number, free circuits and size of their groups."""
         restored = []
         for number, group in self.groups.items():
             if 0 <= group.doubted_until <= now:
--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from ..brain import CallController
+from ..call_controller import CallController
 from ..host import GwState, LegEnd, ListEntry, Rsn, TrafficType
 from ..sip.dialogs import dialog_to_release, next_hop
 from ..sip.fields import parse_address, parse_host_port, parse_seconds, parse_uri, parse_via, tag_of, top_via
@@ -21,6 +21,7 @@
 from ..store.audit import Audit
 from ..store.memory import Memory, Recalled, Word
 from ..store.records import KeptStanding
+from ..trace.stored_names import stored_arguments
 from ..trace.tape import Tape, answer_to, crossing, recorded
 from . import sip_mapping
 from .admission import AdmissionControl
@@ -96,7 +97,11 @@
     `address` is its own host and port. `exchanges` holds (number, id, address) of the exchanges known at start.
     `types_by_priority` maps Resource-Priority values to indices in `traffic_types`, `circuits_by_type` has the circuits
     of each type. `wall_time` is the wall time at `now` in seconds, used to convert the start times of exchanges.
-    `random_text(length)` returns unguessable text. `gw` is the index of an exchange machine, as in `Host`.
+    `random_text(length)` returns unguessable text. `default_expires` is in seconds; all other times are in tenths of a
+    millisecond. The arguments from `release_guard` to `overload_span` are passed to the `CallController`; with a `tape`
+    its events and actions are recorded, with a `memory` what has to survive a restart is collected.
+
+    A `gw` is the index of an exchange machine, as in `Host`.
     """
 
     def __init__(
@@ -124,11 +129,11 @@
         release_guard: int,
         max_legs: int,
         max_hold_off: int,
-        tells_peers: bool,
-        cold_from: float,
+        messages_peers: bool,
+        cold_share: float,
         warm_after: int,
-        multiple: float,
-        fall_span: int,
+        overload_factor: float,
+        overload_span: int,
         tape: Tape | None = None,
         memory: Memory | None = None,
         recalled: Recalled | None = None,
@@ -142,7 +147,7 @@
         self.now, self.wall_time_at_start, self.started_at = now, wall_time, now
         self.transactions = Transactions(self, transport, address, t1=t1, t2=8 * t1, t4=10 * t1, max_servers=max_transactions)
         self.run_id = random_text(6)
-        self.serial = 0
+        self.serial = 0  # of legs and branches
         self.uri = f"sip:{address[0]}:{address[1]}"
         self.calls: dict[int, Call] = {}
         self.calls_by_key: dict[tuple[str, str], Call] = {}
@@ -150,36 +155,34 @@
         self.open_dialogs = 0  # without a final response
         self.released_answers: dict[tuple[str, str], int] = {}  # unwanted 2xx whose BYE was sent: dialog key to expiry time
         self.circuits = CircuitCounts()
-        self.leg_timers: list[
-            tuple[int, int, int]
-        ] = []  # (due at, serial of the leg, dialog); no reference to the leg, which may have ended
+        self.leg_timers: list[tuple[int, int, int]] = []  # (due at, serial of the leg, dialog): the leg itself may have ended
         self.ended_legs: deque[tuple[Leg, LegEnd, int]] = deque()
-        self.wake_at: int | None = None
+        self.next_tick_at: int | None = None
         self.next_sweep_at = now + SWEEP_INTERVAL
-        self.counts: dict[str, int] = {}
+        self.counts: dict[str, int] = {}  # shown to operators
         self.exchange_ids: list[str] = []  # by gw
         self.gw_by_id: dict[str, int] = {}
         self.exchange_numbers: list[int] = []  # by gw
         self.hops: list[Hop | None] = []  # by gw
-        self.local_starts: dict[tuple[int, float], int] = {}
-        self.pending_messages: dict[int, int] = {}
+        self.local_starts: dict[tuple[int, float], int] = {}  # (gw, start in wall time) to time of the own clock
+        self.pending_messages: dict[int, int] = {}  # unanswered messages by gw
         self.list_address = exchange_list
         self.subscribers = {LIST_EVENT: Subscriber(LIST_EVENT, 60 * SECOND), GROUPS_EVENT: Subscriber(GROUPS_EVENT, 20 * SECOND)}
         controller_arguments = {
             "release_guard": release_guard,
-            "most_legs": max_legs,
-            "longest_hold_off": max_hold_off,
-            "may_cancel": True,
-            "must_ask": exchange_list is not None,
-            "may_tell": tells_peers,
-            "centre_advises": False,
-            "cold_from": cold_from,
+            "max_legs": max_legs,
+            "max_hold_off": max_hold_off,
+            "can_cancel_legs": True,
+            "must_subscribe": exchange_list is not None,
+            "can_message_peers": messages_peers,
+            "has_route_advice": False,
+            "cold_share": cold_share,
             "warm_after": warm_after,
-            "multiple": multiple,
-            "fall_span": fall_span,
+            "overload_factor": overload_factor,
+            "overload_span": overload_span,
         }
         self.controller_arguments = {
-            **controller_arguments,
+            **stored_arguments(controller_arguments),
             "seed": seed,
             "here": own_exchange,
             "proxies": len(exchanges),
@@ -189,17 +192,17 @@
             self.controller = CallController(self, seed, own_exchange, len(exchanges), traffic_types, **controller_arguments)
         else:
             self.controller = recorded(tape, self, seed, own_exchange, len(exchanges), traffic_types, **controller_arguments)
-        known = []
+        configured = []
         for number, name, (host, port) in exchanges:
             gw = self._gw_of(name, number)
             self.hops[gw] = Hop("UDP", host, port)
             if memory is not None:
                 memory.known(name, number, f"{host}:{port}", "UDP")
-            known.append(ListEntry(gw, number, GwState.READY, 0))
-        self.controller.list_pushed(now, known, True)
+            configured.append(ListEntry(gw, number, GwState.READY, 0))
+        self.controller.exchange_list_received(now, configured, True)
         if recalled is not None:
             self._restore(now, recalled)
-        self.controller.begin(now)
+        self.controller.start(now)
         self._perform_action(now, self.subscribers[GROUPS_EVENT], self.subscribers[GROUPS_EVENT].subscription.start(now))
 
     # --- events of the process: messages and time ------------------------------------------------------
@@ -239,9 +242,9 @@
             if call is not None and call.leg is not None and call.leg.serial == serial and not call.established:
                 self._abandon_leg(now, call.leg, LegEnd.NO_ANSWER)
         self._report_ended_legs(now)
-        if self.wake_at is not None and now >= self.wake_at:
-            self.wake_at = None
-            self.controller.beat(now)
+        if self.next_tick_at is not None and now >= self.next_tick_at:
+            self.next_tick_at = None
+            self.controller.tick(now)
             self._report_ended_legs(now)
         if now >= self.next_sweep_at:
             self.next_sweep_at = now + SWEEP_INTERVAL
@@ -296,13 +299,13 @@
     def ack_received(self, now: int, message: Message, hop: Hop) -> None:
         """The ACK of a 2xx is end to end and forwarded statelessly (section 16.11)."""
         try:
-            onward = self._prepare_forwarding(message)
-            next_hop(onward)
+            forwarded = self._prepare_forwarding(message)
+            next_hop(forwarded)
         except BadMessageError:
             return  # an ACK has no response
         branch = MAGIC_COOKIE + "a" + blake2s(top_via(message).branch.encode(errors="replace"), digest_size=10).hexdigest()
-        if not self._is_addressed_here(onward):
-            self._send_stateless(onward, branch)
+        if not self._is_addressed_here(forwarded):
+            self._send_stateless(forwarded, branch)
 
     def transaction_limit_reached(self, now: int, message: Message, hop: Hop) -> None:
         self._count("transactions full")
@@ -414,7 +417,7 @@
         self.open_dialogs += 1
         self._count("dialogs")
         self.transactions.respond(now, server, response(message, 100))
-        self.controller.dialog_came(
+        self.controller.dialog_received(
             now,
             call.index,
             traffic_type,
@@ -441,7 +444,7 @@
             # Answered at once: a pending leg is cancelled and, if its 2xx crosses the CANCEL, released.
             self._send_final(now, owner, 487, [])
             self._count("given up by callers")
-            self.controller.dialog_gone(now, owner.index)
+            self.controller.dialog_cancelled(now, owner.index)
             if owner.leg is not None:
                 self._abandon_leg(now, owner.leg, LegEnd.CANCELLED)
             else:
@@ -491,13 +494,13 @@
         if call.leg is None:
             self._forget(call)
 
-    def wake_after(self, delay: int) -> None:
-        self.wake_at = self.now + delay
+    def schedule_tick(self, delay: int) -> None:
+        self.next_tick_at = self.now + delay
 
-    def tell_all(self, payload: bytes) -> None:
+    def send_to_peers(self, payload: bytes) -> None:
         for gw, number in enumerate(self.exchange_numbers):
             hop = self.hops[gw]
-            exchange = self.controller.by_number.get(number)
+            exchange = self.controller.exchange_by_number.get(number)
             if (
                 number == self.own_exchange
                 or hop is None
@@ -592,7 +595,7 @@
                 self._note("came", answer_to(leg.trace_id), call.index)
             if call.trace_id:
                 self._note("sent", answer_to(call.trace_id), call.index)
-            self.controller.dialog_stands(now, call.index, now - leg.sent_at)
+            self.controller.dialog_established(now, call.index, now - leg.sent_at)
             return
         if not leg.finished:
             self.ended_legs.append((leg, *sip_mapping.leg_end_of(message, leg.exchange != call.destination)))
@@ -660,11 +663,11 @@
 
     def _forward_in_dialog(self, now: int, server: ServerTransaction, message: Message) -> None:
         try:
-            onward = self._prepare_forwarding(message)
-            if self._is_addressed_here(onward):
+            forwarded = self._prepare_forwarding(message)
+            if self._is_addressed_here(forwarded):
                 self._answer(now, server, 481)
                 return
-            hop = next_hop(onward)
+            hop = next_hop(forwarded)
         except BadMessageError as bad:
             self._answer(now, server, bad.status or 400)
             return
@@ -672,7 +675,7 @@
         server.owner = forwarding
         if message.method == "INVITE":
             self.transactions.respond(now, server, response(message, 100))
-        forwarding.client = self.transactions.request(now, onward, hop, self._branch(), forwarding)
+        forwarding.client = self.transactions.request(now, forwarded, hop, self._branch(), forwarding)
         if message.method == "BYE":
             self._handle_bye(now, message)
 
@@ -689,10 +692,10 @@
         hops_left = self._hops_left(message)
         if hops_left <= 0:
             raise BadMessageError("no hops are left", 483)
-        onward = message.copy()
-        self._strip_routes(onward)
-        onward.put("Max-Forwards", str(hops_left - 1))
-        return onward
+        forwarded = message.copy()
+        self._strip_routes(forwarded)
+        forwarded.put("Max-Forwards", str(hops_left - 1))
+        return forwarded
 
     def _strip_routes(self, message: Message) -> None:
         while True:
@@ -726,7 +729,7 @@
             self.log.warning("subscription-failed", event_package=subscriber.event)
             self._count("subscriptions failed")
             if subscriber.event == LIST_EVENT:
-                self.controller.list_failed(now)
+                self.controller.exchange_list_failed(now)
             else:
                 subscriber.retry_at = now + SECOND
             return
@@ -754,7 +757,7 @@
     def _notifier_hop(self, subscriber: Subscriber) -> Hop | None:
         if subscriber.event == LIST_EVENT:
             return None if self.list_address is None else Hop("UDP", *self.list_address)
-        exchange = self.controller.by_number.get(self.own_exchange)
+        exchange = self.controller.exchange_by_number.get(self.own_exchange)
         hop = self.hops[exchange.gw] if exchange is not None else None
         return None if hop is None else Hop("UDP", hop.host, hop.port)
 
@@ -805,7 +808,7 @@
 
     def _apply_list(self, now: int, body: ListBody) -> None:
         entries = []
-        own = self._own_machine()
+        previous_machine = self._own_machine()
         for line in body.exchanges:
             gw = self._gw_of(line.id, line.number)
             state = STATES.get(line.state, GwState.GONE)
@@ -834,18 +837,19 @@
                     ),
                 )
             entries.append(ListEntry(gw, line.number, state, self._local_start(now, gw, line.started)))
-        self.controller.list_pushed(now, entries, body.state == "full")
+        self.controller.exchange_list_received(now, entries, body.state == "full")
         self._report_ended_legs(now)
         for gw, number in enumerate(self.exchange_numbers):  # a new machine of an exchange has the same trunk groups
             free, size = self.circuits.count(number)
             if size >= 0:
-                self.controller.group_told(now, gw, free, size)
-        if self._own_machine() != own:  # a restarted machine has lost its subscriptions
+                self.controller.trunk_group_reported(now, gw, free, size)
+        if self._own_machine() != previous_machine:  # a restarted machine has lost its subscriptions
             groups = self.subscribers[GROUPS_EVENT]
             self._perform_action(now, groups, groups.subscription.start(now))
 
     def _own_machine(self) -> tuple[int, int]:
-        exchange = self.controller.by_number.get(self.own_exchange)
+        """The gw and start of the own exchange's machine; (-1, 0) if none is known."""
+        exchange = self.controller.exchange_by_number.get(self.own_exchange)
         return (-1, 0) if exchange is None else (exchange.gw, exchange.started)
 
     def _local_start(self, now: int, gw: int, started: float) -> int:
@@ -869,15 +873,15 @@
             self._count("remembered dialogs that were over")
             self.drop_dialog(now, dialog)
         for gw, exchange_number in enumerate(self.exchange_numbers):
-            if exchange_number == number and gw in self.controller.gws:
-                self.controller.group_told(now, gw, free, size)
+            if exchange_number == number and gw in self.controller.exchanges:
+                self.controller.trunk_group_reported(now, gw, free, size)
 
     def _handle_peer_message(self, now: int, server: ServerTransaction, message: Message) -> None:
         """A message of another proxy; one that is too short is ignored."""
         self._answer(now, server, 200)
         if len(message.body) >= 3:
             self._note("came", crossing(message.call_id), -1)
-            self.controller.peer_told(now, message.body)
+            self.controller.peer_report_received(now, message.body)
 
     # --- state kept over restarts ------------------------------------------------------------------------
 
@@ -892,7 +896,7 @@
                 self.hops[gw] = Hop(word.transport, *parse_host_port(word.address))
             state = GwState(word.state) if self.hops[gw] is not None else GwState.GONE
             entries.append(ListEntry(gw, word.number, state, self._local_start(now, gw, word.started)))
-        self.controller.list_pushed(now, entries, False)
+        self.controller.exchange_list_received(now, entries, False)
         gws = [self.gw_by_id.get(exchange_id, -1) for exchange_id in recalled.ids]
         learned = recalled.learned._replace(
             now=now,
@@ -906,7 +910,7 @@
             ],
             pairs=[pair._replace(gw=gws[pair.gw]) for pair in recalled.learned.pairs if gws[pair.gw] >= 0],
         )
-        self.controller.recall(now, learned, recalled.age)
+        self.controller.restore(now, learned, recalled.age)
         for (call_id, tag), record in recalled.standing.items():
             self._restore_dialog(now, (call_id, tag), record)
 
@@ -941,7 +945,7 @@
 
     def save_learned(self, now: int, max_callers: int) -> None:
         """Store what the decision module has learned, with at most `max_callers` callers."""
-        self.memory.learned(self._wall_time(now), self.controller.learned(now, max_callers), self.exchange_ids)
+        self.memory.learned(self._wall_time(now), self.controller.export_learned(now, max_callers), self.exchange_ids)
         self.memory.forgotten(self._wall_time(now))
 
     def _wall_time(self, now: int) -> float:
@@ -1028,6 +1032,7 @@
     # --- helpers -----------------------------------------------------------------------------------------
 
     def _gw_of(self, name: str, number: int) -> int:
+        """The gw of a machine, which is given one if it is new."""
         gw = self.gw_by_id.get(name)
         if gw is None:
             gw = self.gw_by_id[name] = len(self.exchange_ids)
@@ -1055,8 +1060,8 @@
         message.push("Via", f"SIP/2.0/{hop.transport} {self.address[0]}:{self.address[1]};branch={branch};rport")
         self.transport.transmit(bytes(message), hop)
 
-    def _count(self, what: str) -> None:
-        self.counts[what] = self.counts.get(what, 0) + 1
+    def _count(self, name: str) -> None:
+        self.counts[name] = self.counts.get(name, 0) + 1
 
 
 def _quotable(text: str) -> str:
--- a/gingergap/edge/serve.py
+++ b/gingergap/edge/serve.py
@@ -90,11 +90,11 @@
         release_guard=to_units(form.release_guard_ms) + 1,
         max_legs=form.most_legs,
         max_hold_off=to_units(form.longest_hold_off_ms),
-        tells_peers=form.tell_peers,
-        cold_from=form.cold.from_share,
+        messages_peers=form.tell_peers,
+        cold_share=form.cold.from_share,
         warm_after=to_units(form.cold.warm_after_ms) + 1,
-        multiple=form.cold.multiple,
-        fall_span=to_units(form.cold.span_ms) + 1,
+        overload_factor=form.cold.multiple,
+        overload_span=to_units(form.cold.span_ms) + 1,
         tape=tape,
         memory=memory,
         recalled=recalled,
@@ -262,9 +262,8 @@
         source = Source(header.module, header.epoch, header.instance, header.wall, header.started, header.figures)
         span_consumers: list[Any] = []
         if form.metrics:
-            from ..metrics.calls import (
-                CallFigures,
-            )  # imported here: the libraries of metrics and spans take longer to load than all the rest
+            # imported here: the libraries of metrics and spans take longer to load than all the rest
+            from ..metrics.calls import CallFigures
 
             self.metrics = CallFigures([entry.name for entry in self.form.traffic_type])
             span_consumers.append(self.metrics.over)
@@ -402,7 +401,7 @@
     def _exchanges(self) -> list[dict[str, Any]]:
         now, rows = clock(), []
         for gw, name in enumerate(self.proxy.exchange_ids):
-            exchange = self.proxy.controller.gws.get(gw)
+            exchange = self.proxy.controller.exchanges.get(gw)
             if exchange is not None:
                 rows.append(
                     {
@@ -411,10 +410,10 @@
                         "ready": exchange.ready,
                         "free": exchange.group.free,
                         "circuits": exchange.group.size,
-                        "expected_ms": exchange.expected(now) / 10,
-                        "legs_out": len(exchange.out),
+                        "expected_ms": exchange.expected_setup(now) / 10,
+                        "legs_out": len(exchange.legs_out),
                         "cold": now < exchange.cold_until,
-                        "pressed": now < exchange.pressed_until,
+                        "pressed": now < exchange.overloaded_until,
                     }
                 )
         return rows
@@ -429,7 +428,7 @@
         self._guarded(self.proxy.hop_failed, clock(), hop, reset)
 
     def _guarded(self, method: Any, *args: Any) -> None:
-        """Handle one event; an exception is logged and must not end the greenlet that delivers events."""
+        """Handle one event; an exception is logged, with the name of the method, and must not end the calling greenlet."""
         try:
             method(*args)
         except Exception:
--- a/tests/test_edge_parts.py
+++ b/tests/test_edge_parts.py
@@ -109,17 +109,17 @@
     peers.new()
     peers.tell_list(3, [("x1", "gone", 0)])
     assert [m.get("Event") for m in peers.new("SUBSCRIBE")] == ["exchange-list"]
-    assert peers.proxy.controller.by_number[1].ready  # not applied: version 2 is missing
+    assert peers.proxy.controller.exchange_by_number[1].ready  # not applied: version 2 is missing
     peers.tell_list(3, [("x0", "ready", 0), ("x1", "gone", 0), ("x2", "draining", 0)], "full")
-    states = {name: peers.proxy.controller.gws[peers.proxy.gw_by_id[name]].ready for name in ("x1", "x2", "x3")}
+    states = {name: peers.proxy.controller.exchanges[peers.proxy.gw_by_id[name]].ready for name in ("x1", "x2", "x3")}
     assert states == {"x1": False, "x2": False, "x3": False}
     peers.tell_list(2, [("x1", "ready", 0)])
-    assert not peers.proxy.controller.by_number[1].ready  # stale
+    assert not peers.proxy.controller.exchange_by_number[1].ready  # stale
 
 
 def test_the_same_start_time_notified_twice_is_one_start(peers):
     peers.tell_list(1, [("x1", "ready", 1_000_001.5)], "full")
-    exchange = peers.proxy.controller.by_number[1]
+    exchange = peers.proxy.controller.exchange_by_number[1]
     first = exchange.started
     peers.pass_time(30_000)
     peers.tell_list(2, [("x1", "ready", 1_000_001.5)])
@@ -142,7 +142,7 @@
             ],
         },
     )
-    exchange = peers.proxy.controller.by_number[1]
+    exchange = peers.proxy.controller.exchange_by_number[1]
     assert peers.proxy.exchange_ids[exchange.gw] == "new" and (exchange.group.free, exchange.group.size) == (20, 20)
     invite = peers.invite()
     assert [hop.port for _, hop in peers.legs(invite.call_id)] == [7201]
@@ -159,7 +159,7 @@
     "body", [b"", b"{", b"[]", b'{"version":"x"}', b'{"version":1,"state":"full","epoch":"e"}', b"\xff\xfe", b"[" * 5000]
 )
 def test_an_invalid_list_notification_is_rejected_and_the_old_list_kept(peers, body):
-    before = dict(peers.proxy.controller.by_number)
+    before = dict(peers.proxy.controller.exchange_by_number)
     subscriber = peers.proxy.subscribers["exchange-list"]
     message = Message("NOTIFY", "sip:127.0.0.1:7000", body=body)
     message.fields = [
@@ -173,7 +173,7 @@
     ]
     peers.come(message)
     assert [m.status for m in peers.new(port=9000)] == [400 if body else 200]
-    assert peers.proxy.controller.by_number == before
+    assert peers.proxy.controller.exchange_by_number == before
 
 
 def test_the_list_is_subscribed_to_again_after_it_became_silent(peers):
@@ -181,7 +181,7 @@
     peers.pass_time(100 * SECOND)
     lists = [m for m in peers.all("SUBSCRIBE") if m.get("Event") == "exchange-list"]
     assert len({m.call_id for m in lists}) > 2
-    assert peers.proxy.controller.by_number[1].ready  # the last known list stays in use
+    assert peers.proxy.controller.exchange_by_number[1].ready  # the last known list stays in use
 
 
 # --- circuit counts, admission control, numbering plan, SIP mapping ---
@@ -316,4 +316,4 @@
         ("CSeq", "1 MESSAGE"),
     ]
     peers.come(message)
-    assert peers.proxy.controller.by_number[2].reach == (0x0E, 0x0E)
+    assert peers.proxy.controller.exchange_by_number[2].reachable == (0x0E, 0x0E)
