--- a/gingergap/edge/serve.py
+++ b/gingergap/edge/serve.py
@@ -1,4 +1,4 @@
-"""The edge as a process: settings to a proxy, sockets, the monotonic clock, signals, and an orderly end."""
+"""The signalling proxy as a process: settings, sockets, the monotonic clock, signals and an orderly shutdown."""
 
 import secrets
 import signal
@@ -9,10 +9,10 @@
 import gevent
 from gevent.event import Event
 
-from ..control.server import Control
+from ..control.server import ControlServer
 from ..host import TrafficType
 from ..settings.edge import EdgeForm
-from ..sip.fields import host_port
+from ..sip.fields import parse_host_port
 from ..sip.message import BadMessageError, Message
 from ..sip.transactions import Hop
 from ..store.proxy_state import RestoredState, StateRecorder
@@ -21,43 +21,44 @@
 from ..trace.live import LiveTimelines
 from ..trace.recorder import Recorder, enforce_budget
 from ..transport.sockets import Sockets
+from .admission import AdmissionControl
 from .coordination import Coordination, LocalWork
-from .door import Door
-from .numbering import Numbering
+from .numbering import NumberingPlan
 from .proxy import EdgeProxy
-from .remembering import Remembering
+from .proxy_store import ProxyStore
 
-TICK = 0.005  # seconds between looks at what is due
-UNIT = 10_000  # tenths of a millisecond in a second
-MOST_REMARK = 500  # characters
-LATE = 500  # 50 ms behind: the process no longer keeps up
+TICK_SECONDS = 0.005
+UNITS_PER_SECOND = 10_000  # tenths of a millisecond in a second
+MAX_REMARK_LENGTH = 500  # characters
+MAX_LAG = 500  # 50 ms; a process whose timers run later than this is overloaded
 
 
 def clock() -> int:
-    """Now, in tenths of a millisecond, by the machine's monotonic clock."""
+    """The time of the monotonic clock in tenths of a millisecond."""
     return time.monotonic_ns() // 100_000
 
 
-def units(ms: float) -> int:
+def to_units(ms: float) -> int:
+    """Milliseconds as whole tenths of a millisecond."""
     return round(ms * 10)
 
 
-def proxy_of(
+def build_proxy(
     form: EdgeForm,
-    wire: Any,
+    transport: Any,
     log: Any,
     now: int,
-    wall: float,
-    fresh: Any,
+    wall_time: float,
+    random_text: Any,
     trace_buffer: TraceBuffer | None = None,
     memory: StateRecorder | None = None,
     recalled: RestoredState | None = None,
 ) -> EdgeProxy:
-    """The proxy that a settings file describes."""
-    types = [
+    """Build the proxy that the settings describe; the other arguments are those of `EdgeProxy`."""
+    traffic_types = [
         TrafficType(
-            units(entry.setup_objective_ms),
-            units(entry.no_answer_time_ms),
+            to_units(entry.setup_objective_ms),
+            to_units(entry.no_answer_time_ms),
             entry.late_share,
             entry.importance,
             entry.repeatable,
@@ -65,35 +66,35 @@
         )
         for entry in form.traffic_type
     ]
-    kinds = {value.lower(): place for place, entry in enumerate(form.traffic_type) for value in entry.resource_priority}
+    types_by_priority = {value.lower(): index for index, entry in enumerate(form.traffic_type) for value in entry.resource_priority}
     return EdgeProxy(
-        wire,
+        transport,
         now,
-        wall,
-        fresh,
+        wall_time,
+        random_text,
         log,
-        address=host_port(form.listen),
+        address=parse_host_port(form.listen),
         domain=form.domain,
-        here=form.here,
+        own_exchange=form.here,
         seed=form.seed,
-        exchanges=[(entry.number, entry.id, host_port(entry.address)) for entry in form.exchange],
-        exchange_list=host_port(form.exchange_list) if form.exchange_list else None,
-        types=types,
-        kinds=kinds,
-        widths=[entry.circuits for entry in form.traffic_type],
-        numbering=Numbering({prefix: entry.number for entry in form.exchange for prefix in entry.prefix}),
-        door=Door(form.bounds.dialogs, LATE, [entry.importance for entry in form.traffic_type]),
+        exchanges=[(entry.number, entry.id, parse_host_port(entry.address)) for entry in form.exchange],
+        exchange_list=parse_host_port(form.exchange_list) if form.exchange_list else None,
+        traffic_types=traffic_types,
+        types_by_priority=types_by_priority,
+        circuits_by_type=[entry.circuits for entry in form.traffic_type],
+        numbering=NumberingPlan({prefix: entry.number for entry in form.exchange for prefix in entry.prefix}),
+        admission=AdmissionControl(form.bounds.dialogs, MAX_LAG, [entry.importance for entry in form.traffic_type]),
         default_expires=form.default_expires_s,
-        most_transactions=form.bounds.transactions,
-        t1=units(form.t1_ms),
-        release_guard=units(form.release_guard_ms) + 1,
-        most_legs=form.most_legs,
-        longest_hold_off=units(form.longest_hold_off_ms),
-        tells=form.tell_peers,
-        cold_from=form.cold.from_share,
-        warm_after=units(form.cold.warm_after_ms) + 1,
-        multiple=form.cold.multiple,
-        fall_span=units(form.cold.span_ms) + 1,
+        max_transactions=form.bounds.transactions,
+        t1=to_units(form.t1_ms),
+        release_guard=to_units(form.release_guard_ms) + 1,
+        max_legs=form.most_legs,
+        max_hold_off=to_units(form.longest_hold_off_ms),
+        messages_peers=form.tell_peers,
+        cold_share=form.cold.from_share,
+        warm_after=to_units(form.cold.warm_after_ms) + 1,
+        overload_factor=form.cold.multiple,
+        overload_span=to_units(form.cold.span_ms) + 1,
         trace_buffer=trace_buffer,
         memory=memory,
         recalled=recalled,
@@ -101,34 +102,35 @@
 
 
 class EdgeProcess:
-    """One running edge. `run` returns the exit code once it has drained."""
+    """One running proxy process."""
 
     def __init__(self, form: EdgeForm, log: Any) -> None:
         self.form, self.log = form, log.bind(edge=form.name)
         self.sockets = Sockets(
-            self, host_port(form.listen), most_queued=form.bounds.queued_bytes, most_connections=form.bounds.connections
+            self, parse_host_port(form.listen), most_queued=form.bounds.queued_bytes, most_connections=form.bounds.connections
         )
         self.proxy: EdgeProxy | None = None
-        self.over = Event()
-        self.drained_by: float | None = None
+        self.drain_complete = Event()
+        self.drain_deadline: float | None = None
         self.work: LocalWork | None = None
         self.coordination: Coordination | None = None
-        self.control: Control | None = None
+        self.control: ControlServer | None = None
         self.trace_buffer = TraceBuffer()
         self.recorder: Recorder | None = None
         self.spans: Any = None
-        self.store: Remembering | None = None
-        self.figures: Any = None
-        self.busy = 0.0  # the part of the time that calls take, of late
+        self.store: ProxyStore | None = None
+        self.metrics: Any = None
+        self.load = 0.0  # smoothed share of CPU time in use, 0 to 1
 
     def run(self) -> int:
+        """Serve until drained and return the exit code: 0, or 2 if a socket, path or address could not be opened."""
         try:
             self.sockets.open()
         except OSError as error:
             self.log.error("address-taken", listen=self.form.listen, why=error.strerror)
             return 2
         recalled = self._open_store()
-        self.proxy = proxy_of(
+        self.proxy = build_proxy(
             self.form,
             self.sockets,
             self.log,
@@ -139,28 +141,28 @@
             None if self.store is None else self.store.memory,
             recalled,
         )
-        for number in (signal.SIGTERM, signal.SIGINT):
-            gevent.signal_handler(number, self.drain)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            gevent.signal_handler(signal_number, self.drain)
         self.log.info("serving", listen=self.form.listen, here=self.form.here)
         self.work = LocalWork(
             self.proxy,
             clock,
             self.log,
-            lambda: self.busy,
+            lambda: self.load,
             budget=self.form.background_ms_per_s,
-            longest_dialog=round(self.form.longest_dialog_s * UNIT),
+            max_dialog_age=round(self.form.longest_dialog_s * UNITS_PER_SECOND),
         )
         try:
             self._open_coordination({} if recalled is None else recalled.token_counters)
             if self.store is not None:
                 if self.coordination is not None:
-                    self.store.counters = self.coordination.keeper.counters
+                    self.store.token_counters = self.coordination.keeper.counters
                 self.store.start(
                     self.proxy,
                     self.work,
                     clock,
-                    every=self.form.store.every_ms / 1000,
-                    learn_every=self.form.store.learn_every_ms / 1000,
+                    write_interval=self.form.store.every_ms / 1000,
+                    learn_interval=self.form.store.learn_every_ms / 1000,
                 )
             self._open_control()
             self._open_trace()
@@ -169,7 +171,7 @@
             self.sockets.close()
             return 2
         ticker = gevent.spawn(self._tick)
-        self.over.wait()
+        self.drain_complete.wait()
         ticker.kill()
         if self.coordination is not None:
             self.coordination.close()
@@ -190,16 +192,16 @@
         form = self.form.store
         if form is None:
             return None
-        self.store = Remembering(
+        self.store = ProxyStore(
             Path(form.folder),
             self.form.name,
             self.log,
             [entry.importance for entry in self.form.traffic_type],
-            word_lasts=form.word_lasts_s,
-            longest_dialog=self.form.longest_dialog_s,
-            most_callers=form.most_callers,
-            caller_lasts=max(entry.no_answer_time_ms for entry in self.form.traffic_type) / 1000,
-            apart=self._apart,
+            list_validity=form.word_lasts_s,
+            max_dialog_age=self.form.longest_dialog_s,
+            max_callers=form.most_callers,
+            caller_retention=max(entry.no_answer_time_ms for entry in self.form.traffic_type) / 1000,
+            run_in_thread=self._run_in_thread,
         )
         recalled = self.store.open()
         if self.store.book is None:
@@ -207,38 +209,38 @@
         return recalled
 
     @staticmethod
-    def _apart(run: Any, *args: Any) -> Any:
-        """In a thread, while other greenlets go on."""
+    def _run_in_thread(run: Any, *args: Any) -> Any:
+        """Run a function in a thread, while other greenlets continue."""
         return gevent.get_hub().threadpool.apply(run, args)
 
     def _open_coordination(self, tokens: dict[str, int]) -> None:
         form = self.form.coordination
         if form is None:
             return
-        everybody = {entry.name: entry.address for entry in form.member}
-        listens = {entry.name: entry.listen or entry.address for entry in form.member}
+        addresses = {entry.name: entry.address for entry in form.member}
+        listen_addresses = {entry.name: entry.listen or entry.address for entry in form.member}
         self.coordination = Coordination(
             self.proxy,
             self.work,
             clock,
             self.log,
             name=self.form.name,
-            address=everybody[self.form.name],
-            listen=listens[self.form.name],
+            address=addresses[self.form.name],
+            listen=listen_addresses[self.form.name],
             key=form.key.encode(),
-            everybody=everybody,
+            member_addresses=addresses,
             weight=form.weight,
-            period=units(form.period_ms),
-            lasts=units(form.lease_ms),
-            probe_every=units(form.probe_every_ms),
-            probe_limit=units(form.probe_limit_ms),
+            period=to_units(form.period_ms),
+            lease_duration=to_units(form.lease_ms),
+            probe_period=to_units(form.probe_every_ms),
+            probe_limit=to_units(form.probe_limit_ms),
             tokens=tokens,
         )
         self.coordination.open()
 
     def _open_control(self) -> None:
         if self.form.control is not None:
-            self.control = Control(self.form.control, self)
+            self.control = ControlServer(self.form.control, self)
             self.control.open()
 
     def _open_trace(self) -> None:
@@ -250,28 +252,29 @@
             module_digest(),
             secrets.token_hex(4),
             self.form.name,
-            self.proxy.wall_at_start,
+            self.proxy.wall_time_at_start,
             self.proxy.started_at,
-            self.proxy.figures,
+            self.proxy.controller_arguments,
         )
-        folder, part, budget = Path(form.folder), round(form.part_mb * 2**20), round(form.budget_mb * 2**20)
+        folder, part_bytes, budget_bytes = Path(form.folder), round(form.part_mb * 2**20), round(form.budget_mb * 2**20)
         self.trace_buffer.set_enabled(form.recording)
 
         source = Source(header.module, header.epoch, header.instance, header.wall, header.started, header.figures)
-        told: list[Any] = []
+        span_consumers: list[Any] = []
         if form.metrics:
-            from ..metrics.calls import CallMetrics  # its library and that of spans take longer to load than all the rest
+            # imported here: the libraries of metrics and spans take longer to load than all the rest
+            from ..metrics.calls import CallMetrics
 
-            self.figures = CallMetrics([entry.name for entry in self.form.traffic_type])
-            told.append(self.figures.observe)
+            self.metrics = CallMetrics([entry.name for entry in self.form.traffic_type])
+            span_consumers.append(self.metrics.observe)
         if form.spans_slower_ms is not None:
             from ..spans.live import LiveSpans
 
-            self.spans = LiveSpans(folder, source, units(form.spans_slower_ms))
-            told.append(self.spans.write)
-        timelines = LiveTimelines(source, self.log, told)
+            self.spans = LiveSpans(folder, source, to_units(form.spans_slower_ms))
+            span_consumers.append(self.spans.write)
+        timelines = LiveTimelines(source, self.log, span_consumers)
 
-        def seen(records: list[list[Any]], name: str) -> None:
+        def records_written(records: list[list[Any]], name: str) -> None:
             if self.spans is not None:
                 self.spans.set_file(name, timelines.builder.record_index)
             timelines.add(records)
@@ -281,99 +284,101 @@
             self.trace_buffer,
             header,
             self.log,
-            part_bytes=part,
-            part_duration=round(form.part_s * UNIT),
+            part_bytes=part_bytes,
+            part_duration=round(form.part_s * UNITS_PER_SECOND),
             clock=clock,
-            run_in_thread=self._apart,
-            on_written=seen if told else None,
+            run_in_thread=self._run_in_thread,
+            on_written=records_written if span_consumers else None,
         )
         self.recorder.open()
         self.work.add_sweep(
             "trace budget",
-            lambda: self._apart(enforce_budget, folder, self.form.name, budget, part, self.log) >= 0,
-            period=10 * UNIT,
-            limit=60 * UNIT,
+            lambda: self._run_in_thread(enforce_budget, folder, self.form.name, budget_bytes, part_bytes, self.log) >= 0,
+            period=10 * UNITS_PER_SECOND,
+            limit=60 * UNITS_PER_SECOND,
         )
 
     def drain(self) -> None:
-        """No new dialogs; those that stand may finish until the limit."""
-        if self.drained_by is None:
+        """Admit no new dialogs; established ones may finish until the drain limit."""
+        if self.drain_deadline is None:
             if self.coordination is not None:
                 self.coordination.leave()
-            self.drained_by = time.monotonic() + self.form.drain_limit_s
-            self.proxy.door.draining = True
+            self.drain_deadline = time.monotonic() + self.form.drain_limit_s
+            self.proxy.admission.draining = True
             self.log.info("draining", dialogs=len(self.proxy.calls), limit_s=self.form.drain_limit_s)
 
     def _tick(self) -> None:
-        ticks = 0
-        cpu, at = time.process_time(), time.monotonic()
+        tick_count = 0
+        cpu_start, wall_start = time.process_time(), time.monotonic()
         while True:
-            before = clock()
-            gevent.sleep(TICK)
+            previous = clock()
+            gevent.sleep(TICK_SECONDS)
             now = clock()
-            ticks += 1
-            if ticks % 10 == 0:
-                cpu_now, at_now = time.process_time(), time.monotonic()
-                self.busy = 0.7 * self.busy + 0.3 * min(1.0, (cpu_now - cpu) / max(1e-6, at_now - at))
-                cpu, at = cpu_now, at_now
+            tick_count += 1
+            if tick_count % 10 == 0:
+                cpu_end, wall_end = time.process_time(), time.monotonic()
+                self.load = 0.7 * self.load + 0.3 * min(1.0, (cpu_end - cpu_start) / max(1e-6, wall_end - wall_start))
+                cpu_start, wall_start = cpu_end, wall_end
                 self.work.runner.step()
-            self.proxy.ran_late(now, max(0, now - before - int(TICK * UNIT)))
+            self.proxy.timer_ran_late(now, max(0, now - previous - int(TICK_SECONDS * UNITS_PER_SECOND)))
             self._guarded(self.proxy.due, now)
-            if self.drained_by is not None and (not self.proxy.calls or time.monotonic() >= self.drained_by):
+            if self.drain_deadline is not None and (not self.proxy.calls or time.monotonic() >= self.drain_deadline):
                 if self.proxy.calls:
                     self.log.warning("drain-limit-passed", dialogs=len(self.proxy.calls))
-                gevent.sleep(10 * TICK)
-                self.over.set()
+                gevent.sleep(10 * TICK_SECONDS)
+                self.drain_complete.set()
 
-    # --- what the control socket asks ---
+    # --- questions of the control socket ---
 
-    def asked(self, what: str) -> Any:
-        """Tables for operators; raises KeyError for what there is not."""
-        joined = self.coordination
-        match what:
+    def answer_question(self, question: str) -> Any:
+        """Answer a question of the control socket. Raises KeyError with a message if it can't be answered."""
+        coordination = self.coordination
+        match question:
             case "members":
-                return joined.members_table() if joined is not None else []
+                return coordination.members_table() if coordination is not None else []
             case "duties":
-                return joined.duties_table() if joined is not None else []
+                return coordination.duties_table() if coordination is not None else []
             case "learned":
-                return joined.learned_table() if joined is not None else []
+                return coordination.learned_table() if coordination is not None else []
             case "leave":
-                if joined is None:
+                if coordination is None:
                     raise KeyError("this proxy does not coordinate")
-                joined.leave()
+                coordination.leave()
                 return "left"
             case "trace":
-                return self._traced().statistics()
+                return self._require_recorder().statistics()
             case "store":
                 if self.store is None:
                     raise KeyError("this proxy has no (store ...) in its settings, or could not open it")
                 return self.store.figures()
             case "metrics":
-                if self.figures is None:
+                if self.metrics is None:
                     raise KeyError("this proxy has no (metrics true) in its (trace ...)")
-                return self.figures.render()
+                return self.metrics.render()
             case "trace on" | "trace off":
-                self._traced()
-                self.trace_buffer.set_enabled(what == "trace on")
+                self._require_recorder()
+                self.trace_buffer.set_enabled(question == "trace on")
                 self.log.info("trace-switched", on=self.trace_buffer.enabled)
                 return self.recorder.statistics()
-            case _ if what.startswith("remark "):
-                self._traced()
-                self.proxy.remark(clock(), what.removeprefix("remark ")[:MOST_REMARK])
+            case _ if question.startswith("remark "):
+                self._require_recorder()
+                self.proxy.remark(clock(), question.removeprefix("remark ")[:MAX_REMARK_LENGTH])
                 return "noted"
             case "exchanges":
                 return self._exchanges()
             case "counts":
                 return {
                     "name": self.form.name,
-                    "busy": round(self.busy, 3),
+                    "busy": round(self.load, 3),
                     "open": self.proxy.open_dialogs,
                     "dialogs": len(self.proxy.calls),
-                    "uptime_s": round((clock() - self.proxy.started_at) / UNIT, 1),
+                    "uptime_s": round((clock() - self.proxy.started_at) / UNITS_PER_SECOND, 1),
                     "counts": dict(self.proxy.counts),
-                    "coordinates": joined is not None,
-                    "datagrams": dict(joined.datagrams.counts, sent=joined.datagrams.sent, bytes=joined.datagrams.sent_bytes)
-                    if joined is not None
+                    "coordinates": coordination is not None,
+                    "datagrams": dict(
+                        coordination.datagrams.counts, sent=coordination.datagrams.sent, bytes=coordination.datagrams.sent_bytes
+                    )
+                    if coordination is not None
                     else {},
                     "tasks": [
                         {
@@ -386,29 +391,29 @@
                         for task in self.work.plan.tasks.values()
                     ],
                 }
-        raise KeyError(f"nothing is called {what!r}")
+        raise KeyError(f"nothing is called {question!r}")
 
-    def _traced(self) -> Recorder:
+    def _require_recorder(self) -> Recorder:
         if self.recorder is None:
             raise KeyError("this proxy has no (trace ...) in its settings")
         return self.recorder
 
     def _exchanges(self) -> list[dict[str, Any]]:
         now, rows = clock(), []
-        for gw, name in enumerate(self.proxy.ids):
-            ex = self.proxy.controller.exchanges.get(gw)
-            if ex is not None:
+        for gw, name in enumerate(self.proxy.exchange_ids):
+            exchange = self.proxy.controller.exchanges.get(gw)
+            if exchange is not None:
                 rows.append(
                     {
                         "exchange": name,
-                        "number": ex.number,
-                        "ready": ex.ready,
-                        "free": ex.group.free,
-                        "circuits": ex.group.size,
-                        "expected_ms": ex.expected_setup(now) / 10,
-                        "legs_out": len(ex.legs_out),
-                        "cold": now < ex.cold_until,
-                        "pressed": now < ex.overloaded_until,
+                        "number": exchange.number,
+                        "ready": exchange.ready,
+                        "free": exchange.group.free,
+                        "circuits": exchange.group.size,
+                        "expected_ms": exchange.expected_setup(now) / 10,
+                        "legs_out": len(exchange.legs_out),
+                        "cold": now < exchange.cold_until,
+                        "pressed": now < exchange.overloaded_until,
                     }
                 )
         return rows
@@ -423,7 +428,7 @@
         self._guarded(self.proxy.hop_failed, clock(), hop, reset)
 
     def _guarded(self, method: Any, *args: Any) -> None:
-        """One event that fails must not end the reader that brought it: the rest of the calls go on."""
+        """Handle one event; an exception is logged, with the name of the method, and must not end the calling greenlet."""
         try:
             method(*args)
         except Exception:
--- a/gingergap/emulator/proxies.py
+++ b/gingergap/emulator/proxies.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from ..edge.circuits import Circuits
+from ..edge.circuits import CircuitCounts
 from ..host import GwState, Learned, LegEnd, ListEntry, Rsn
 from .engine import SECOND, Engine
 from .rules import Rules
@@ -96,7 +96,7 @@
         self.gws: dict[str, int] = {}
         self.numbers: list[int] = []
         self.calls: dict[int, Call] = {}
-        self.circuits = Circuits()
+        self.circuits = CircuitCounts()
         self.dialogs = 0
         self.soon: list[tuple[Leg, LegEnd, int]] = []
         self.settling = False
@@ -187,7 +187,7 @@
         call = leg.call
         if leg.over or leg.given_up or call.answered or not self._mine(leg):
             return False
-        self.circuits.leg_over(leg.number, id(leg))
+        self.circuits.leg_reported(leg.number, id(leg))
         call.stands = True
         self._final(call)
         call.told(200, 0, 0)
@@ -218,7 +218,7 @@
         self._settle()
 
     def trunk_group_reported(self, number: int, free: int, size: int) -> None:
-        self._group(number, *self.circuits.told(number, free, size))
+        self._group(number, *self.circuits.update(number, free, size))
         self._settle()
 
     def heard(self, told: bytes) -> None:
@@ -302,9 +302,9 @@
         leg.over = True
         call.leg = None
         call.how, call.rsn = how, rsn
-        self.circuits.leg_over(leg.number, id(leg))
+        self.circuits.leg_reported(leg.number, id(leg))
         if how == LegEnd.FULL and rsn == Rsn.NO_CIRCUIT:
-            self.circuits.turned_back(now, leg.number, call.width)
+            self.circuits.group_refused(now, leg.number, call.width)
         self.rules.leg_over(now, self.here, call.index, how)
         over = call.answered
         if over:
--- a/gingergap/standins/caller.py
+++ b/gingergap/standins/caller.py
@@ -13,11 +13,11 @@
 import msgspec
 from gevent.event import Event
 
-from ..edge.words import MARKS
+from ..edge.sip_mapping import DIALOG_FIELD
 from ..sip.dialogs import SipDialog, next_hop
-from ..sip.fields import reason_of, seconds_of, tag_of
+from ..sip.fields import parse_seconds, q850_cause_of, tag_of
 from ..sip.message import Message, response
-from ..sip.transactions import MAGIC, Client, Hop, Lost, Server, State
+from ..sip.transactions import MAGIC_COOKIE, ClientFailure, ClientTransaction, Hop, ServerTransaction, TransactionState
 from .capture import Capture, HarmfulGate
 from .element import Element, units
 from .exchange import BODY
@@ -142,17 +142,19 @@
         if kind.resource_priority:
             invite.fields.append(("Resource-Priority", kind.resource_priority[0]))
         if marks:
-            invite.fields.append((MARKS, ";".join(marks)))
+            invite.fields.append((DIALOG_FIELD, ";".join(marks)))
         attempt = Try()
         self.tries[call_id, tag] = attempt
-        client = self.transactions.request(units(), invite, Hop(transport, *self.proxy), MAGIC + secrets.token_hex(8), attempt)
+        client = self.transactions.request(
+            units(), invite, Hop(transport, *self.proxy), MAGIC_COOKIE + secrets.token_hex(8), attempt
+        )
         patience = float(kind.patience_s)
         if draw.random() < self.plan.day.callers.impatient:
             patience *= draw.random() ** 2
         if not attempt.answered.wait(patience):
             attempt.given_up = True
             self.transactions.cancel(units(), client)
-            if client.state in (State.CALLING, State.PROCEEDING):
+            if client.state in (TransactionState.CALLING, TransactionState.PROCEEDING):
                 attempt.answered.wait(0.5)  # a final answer may cross the CANCEL
         if attempt.dialog is None and attempt.status == 0:
             gevent.spawn_later(40, self.tries.pop, (call_id, tag), None)
@@ -170,7 +172,7 @@
     def _hang_up(self, attempt: Try) -> None:
         attempt.ended.set()
         bye = attempt.dialog.request("BYE")
-        self.transactions.request(units(), bye, next_hop(bye), MAGIC + secrets.token_hex(8))
+        self.transactions.request(units(), bye, next_hop(bye), MAGIC_COOKIE + secrets.token_hex(8))
         key = attempt.dialog.call_id, tag_of(attempt.dialog.local)
         gevent.spawn_later(40, self.tries.pop, key, None)
 
@@ -183,24 +185,24 @@
 
     # --- sockets and transactions ---
 
-    def response_came(self, now: int, client: Client, message: Message) -> None:
+    def response_received(self, now: int, client: ClientTransaction, message: Message) -> None:
         attempt = client.owner
         if not isinstance(attempt, Try) or message.status < 200:
             return
         if message.status >= 300:
             if not attempt.status:
                 attempt.status = message.status
-                attempt.retry_after = seconds_of(message, "Retry-After", 0)
+                attempt.retry_after = parse_seconds(message, "Retry-After", 0)
                 attempt.answered.set()
             return
         if attempt.dialog is None:
             attempt.status = message.status
-            attempt.dialog = SipDialog.of_uac(message)
+            attempt.dialog = SipDialog.from_response(message)
             attempt.ack = attempt.dialog.request("ACK")
             attempt.ack.push(
                 "Via",
                 f"SIP/2.0/{next_hop(attempt.ack).transport} {self.address[0]}:"
-                f"{self.address[1]};branch={MAGIC}{secrets.token_hex(8)};rport",
+                f"{self.address[1]};branch={MAGIC_COOKIE}{secrets.token_hex(8)};rport",
             )
             attempt.answered.set()
         self.sockets.transmit(bytes(attempt.ack), next_hop(attempt.ack))
@@ -212,17 +214,17 @@
         if attempt is not None and attempt.ack is not None:
             self.sockets.transmit(bytes(attempt.ack), next_hop(attempt.ack))
 
-    def request_came(self, now: int, server: Server, message: Message) -> None:
+    def request_received(self, now: int, server: ServerTransaction, message: Message) -> None:
         attempt = self.tries.get((message.call_id, tag_of(message.get("To"))))
         if message.method == "BYE" and attempt is not None:
             self.transactions.respond(now, server, response(message, 200))
             if not attempt.ended.is_set():
-                attempt.cut = reason_of(message)[0] in (27, 38, 41)
+                attempt.cut = q850_cause_of(message)[0] in (27, 38, 41)
                 attempt.ended.set()
         else:
             self.transactions.respond(now, server, response(message, 481 if message.method == "BYE" else 405, "x"))
 
-    def client_lost(self, now: int, client: Client, how: Lost) -> None:
+    def client_failed(self, now: int, client: ClientTransaction, how: ClientFailure) -> None:
         if isinstance(client.owner, Try):
             client.owner.answered.set()
 
--- a/gingergap/standins/element.py
+++ b/gingergap/standins/element.py
@@ -5,7 +5,7 @@
 import gevent
 
 from ..sip.message import BadMessageError, Message
-from ..sip.transactions import Client, Hop, Lost, Server, Transactions
+from ..sip.transactions import ClientFailure, ClientTransaction, Hop, ServerTransaction, Transactions
 from ..transport.sockets import Sockets
 from .capture import HarmfulGate
 
@@ -31,14 +31,14 @@
     def tick(self) -> None:
         while True:
             gevent.sleep(0.01)
-            self.transactions.due(units())
+            self.transactions.fire_timers(units())
 
     def got(self, message: Message, hop: Hop) -> None:
         try:
             self.take(message, hop)
         except BadMessageError as bad:
             if message.method and bad.status:
-                self.transactions.stateless(message, bad.status, "bad", hop)
+                self.transactions.respond_statelessly(message, bad.status, "bad", hop)
 
     def take(self, message: Message, hop: Hop) -> None:
         self.transactions.received(units(), message, hop)
@@ -49,23 +49,23 @@
     def hop_failed(self, hop: Hop, reset: bool) -> None:
         self.transactions.hop_failed(units(), hop, reset)
 
-    def request_came(self, now: int, server: Server, message: Message) -> None:
+    def request_received(self, now: int, server: ServerTransaction, message: Message) -> None:
         pass
 
-    def ack_came(self, now: int, message: Message, hop: Hop) -> None:
+    def ack_received(self, now: int, message: Message, hop: Hop) -> None:
         pass
 
-    def door_shut(self, now: int, message: Message, hop: Hop) -> None:
-        self.transactions.stateless(message, 503, "full", hop)
+    def transaction_limit_reached(self, now: int, message: Message, hop: Hop) -> None:
+        self.transactions.respond_statelessly(message, 503, "full", hop)
 
-    def response_came(self, now: int, client: Client, message: Message) -> None:
+    def response_received(self, now: int, client: ClientTransaction, message: Message) -> None:
         pass
 
     def stray_response(self, now: int, message: Message) -> None:
         pass
 
-    def client_lost(self, now: int, client: Client, how: Lost) -> None:
+    def client_failed(self, now: int, client: ClientTransaction, how: ClientFailure) -> None:
         pass
 
-    def server_lost(self, now: int, server: Server) -> None:
+    def ack_timed_out(self, now: int, server: ServerTransaction) -> None:
         pass
--- a/gingergap/standins/exchange.py
+++ b/gingergap/standins/exchange.py
@@ -18,16 +18,16 @@
 
 from ..duties.leases import FencingToken, TokenFence
 from ..sip.dialogs import SipDialog, next_hop
-from ..sip.fields import address_of, params_of, q850, tag_of, top_via, uri_of
+from ..sip.fields import parse_address, parse_params, parse_uri, q850_reason, tag_of, top_via
 from ..sip.message import BadMessageError, Message, response
-from ..sip.transactions import MAGIC, Client, Hop, Lost, Server, stamp_via
+from ..sip.transactions import MAGIC_COOKIE, ClientFailure, ClientTransaction, Hop, ServerTransaction, record_source
 from .capture import Capture, HarmfulGate
 from .circuits import SharedCircuits
 from .element import Element, units
 from .notifier import Notifier
 from .script import LONG_AGO, NEVER, Life, Plan
 
-FORWARDED = MAGIC + "t"
+FORWARDED = MAGIC_COOKIE + "t"
 LONGEST_SETUP = 15.0  # seconds after which circuits of a set-up that was never finished are freed
 BODY = b"v=0\r\no=- 1 1 IN IP4 127.0.0.1\r\ns=-\r\nc=IN IP4 127.0.0.1\r\nt=0 0\r\nm=audio 40000 RTP/AVP 8\r\n"
 
@@ -41,7 +41,7 @@
         self.source, self.width, self.since, self.transit = source, width, since, transit
         self.stands = self.released = self.acked = False
         self.dialog: SipDialog | None = None
-        self.server: Server | None = None
+        self.server: ServerTransaction | None = None
         self.answer: Message | None = None
 
 
@@ -141,7 +141,7 @@
         while True:
             gevent.sleep(0.01)
             if not self._silent():
-                self.transactions.due(units())
+                self.transactions.fire_timers(units())
             rounds += 1
             self._drop_connections()
             if rounds % 4 == 0:
@@ -298,10 +298,10 @@
 
     def _got_request(self, message: Message, hop: Hop) -> None:
         routes = message.all("Route")
-        if routes and (uri := uri_of(address_of(routes[0])[0])) and (uri.host, uri.port) == self.address:
+        if routes and (uri := parse_uri(parse_address(routes[0])[0])) and (uri.host, uri.port) == self.address:
             self._pass_within(message, hop)
             return
-        user = uri_of(message.uri).user
+        user = parse_uri(message.uri).user
         if message.method in ("INVITE", "ACK", "CANCEL") and self._number_of(message.uri) not in (-1, self.life.number):
             self._in_transit(message, hop)
         elif message.method == "MESSAGE" and user == "proxy" and (hop.host, hop.port) != self.proxy:
@@ -311,11 +311,11 @@
 
     def _number_of(self, uri: str) -> int:
         """Numbers are 0NN and digits: the exchange they belong to, -1 for none."""
-        user = uri_of(uri).user
+        user = parse_uri(uri).user
         return int(user[1:3]) if len(user) > 3 and user[1:3].isdigit() else -1
 
     def _source_of(self, uri: str) -> int:
-        group = uri_of(uri).user_params.get("tgrp", "")
+        group = parse_uri(uri).user_params.get("tgrp", "")
         first = group[1:].partition("-")[0]
         return int(first) if group.startswith("g") and first.isdigit() else -1
 
@@ -330,7 +330,7 @@
         via = top_via(message)
         branch = self._branch_onward(message)
         onto = message.copy()
-        stamp_via(onto, via, hop)
+        record_source(onto, via, hop)
         hops = onto.get("Max-Forwards", "70").strip()
         if not hops.isdigit() or int(hops) <= 0:
             return
@@ -356,7 +356,7 @@
             return
         self._arrived()
         if not self._seize(
-            message, True, lambda status, tag, fields: self.transactions.stateless(message, status, tag, hop, fields)
+            message, True, lambda status, tag, fields: self.transactions.respond_statelessly(message, status, tag, hop, fields)
         ):
             return
         self.forwarded[branch] = False
@@ -373,7 +373,7 @@
         """A request within a dialog in transit: on along its route set; a BYE frees the circuits here."""
         while True:
             routes = message.all("Route")
-            uri = uri_of(address_of(routes[0])[0]) if routes else None
+            uri = parse_uri(parse_address(routes[0])[0]) if routes else None
             if uri is None or (uri.host, uri.port) != self.address:
                 break
             message.pop_first("Route")
@@ -399,11 +399,11 @@
             return False
         if self._wait() > processor.turn_away_after_ms / 1000:
             self._put(processor.refuse_ms, lambda: None)
-            refuse(503, "full", [q850(42)])
+            refuse(503, "full", [q850_reason(42)])
             return False
         if self.shared.held(here, source) + width > self.plan.size(here, source, self.now()):
             self._put(processor.refuse_ms, lambda: None)
-            refuse(503, "none", [q850(34)])
+            refuse(503, "none", [q850_reason(34)])
             return False
         self.shared.add(source, here, width)
         self.held[key] = Held(source, width, self.now(), transit)
@@ -420,13 +420,13 @@
         if held is None or held.released or held.transit or held.dialog is None or not held.stands:
             return
         bye = held.dialog.request("BYE")
-        bye.fields.append(q850(38))
+        bye.fields.append(q850_reason(38))
         self._free(key)
-        self.transactions.request(units(), bye, next_hop(bye), MAGIC + secrets.token_hex(8))
+        self.transactions.request(units(), bye, next_hop(bye), MAGIC_COOKIE + secrets.token_hex(8))
 
     # --- the transactions' user ---
 
-    def request_came(self, now: int, server: Server, message: Message) -> None:
+    def request_received(self, now: int, server: ServerTransaction, message: Message) -> None:
         if message.method == "INVITE":
             self._invited(now, server, message)
         elif message.method == "SUBSCRIBE":
@@ -448,10 +448,10 @@
         else:
             self.transactions.respond(now, server, response(message, 405, "no"))
 
-    def _probed(self, server: Server, message: Message) -> None:
+    def _probed(self, server: ServerTransaction, message: Message) -> None:
         """A probe under a lease is answered if its token is not older than the newest seen here (412, RFC 3903)."""
         duty, _, rest = message.get("Gingergap-Duty").partition(";")
-        params = params_of(rest)
+        params = parse_params(rest)
         if duty and params.get("counter", "").isdigit():
             token = FencingToken(int(params["counter"]), params.get("holder", ""))
             admitted = self.fence.admit(units(), duty, token, True)
@@ -468,7 +468,7 @@
                 return
         self.transactions.respond(units(), server, response(message, 200, "probe"))
 
-    def _invited(self, now: int, server: Server, message: Message) -> None:
+    def _invited(self, now: int, server: ServerTransaction, message: Message) -> None:
         self._arrived()
         key = message.call_id, tag_of(message.get("From"))
         if not self._seize(
@@ -486,10 +486,10 @@
                 return  # called off meanwhile: the work was for nothing
             if self.draw.random() < self.plan.day.processor.lines_busy:
                 self._free(key)
-                self.transactions.respond(units(), server, response(message, 486, self._tag(key), [q850(17)]))
+                self.transactions.respond(units(), server, response(message, 486, self._tag(key), [q850_reason(17)]))
                 return
             tag = self._tag(key)
-            held.dialog = SipDialog.of_uas(message, tag)
+            held.dialog = SipDialog.from_request(message, tag)
             held.answer = response(
                 message,
                 200,
@@ -523,7 +523,7 @@
     def _tag(self, key: tuple[str, str]) -> str:
         return blake2s(f"{self.life.id} {self.life.born} {key}".encode("utf-8", "replace"), digest_size=5).hexdigest()
 
-    def _cancelled(self, now: int, server: Server, message: Message) -> None:
+    def _cancelled(self, now: int, server: ServerTransaction, message: Message) -> None:
         branch, sent_by, _ = server.key
         invited = self.transactions.servers.get((branch, sent_by, "INVITE"))
         self.transactions.respond(now, server, response(message, 200 if invited else 481, "cancel"))
@@ -533,15 +533,15 @@
             self._free(key)
             self.transactions.respond(now, invited, response(invited.request, 487, self._tag(key)))
 
-    def ack_came(self, now: int, message: Message, hop: Hop) -> None:
+    def ack_received(self, now: int, message: Message, hop: Hop) -> None:
         held = self.held.get((message.call_id, tag_of(message.get("From"))))
         if held is not None:
             held.acked = True
 
-    def response_came(self, now: int, client: Client, message: Message) -> None:
+    def response_received(self, now: int, client: ClientTransaction, message: Message) -> None:
         self.notifier.answered(client, message)
 
-    def client_lost(self, now: int, client: Client, how: Lost) -> None:
+    def client_failed(self, now: int, client: ClientTransaction, how: ClientFailure) -> None:
         self.notifier.lost(client)
 
 
--- a/gingergap/standins/exchange_list.py
+++ b/gingergap/standins/exchange_list.py
@@ -8,7 +8,7 @@
 import gevent
 
 from ..sip.message import Message, response
-from ..sip.transactions import Client, Hop, Lost, Server
+from ..sip.transactions import ClientFailure, ClientTransaction, Hop, ServerTransaction
 from .capture import Capture, HarmfulGate
 from .element import Element, units
 from .notifier import Notifier
@@ -60,16 +60,16 @@
             gevent.sleep(max(0.0, self.epoch + when - time.monotonic()))
             self.notifier.changed(units(), {name: self._line(name, number, state, started)})
 
-    def request_came(self, now: int, server: Server, message: Message) -> None:
+    def request_received(self, now: int, server: ServerTransaction, message: Message) -> None:
         if message.method == "SUBSCRIBE":
             self.notifier.subscribe(now, server, message)
         else:
             self.transactions.respond(now, server, response(message, 405, secrets.token_hex(4)))
 
-    def response_came(self, now: int, client: Client, message: Message) -> None:
+    def response_received(self, now: int, client: ClientTransaction, message: Message) -> None:
         self.notifier.answered(client, message)
 
-    def client_lost(self, now: int, client: Client, how: Lost) -> None:
+    def client_failed(self, now: int, client: ClientTransaction, how: ClientFailure) -> None:
         self.notifier.lost(client)
 
 
--- a/gingergap/standins/notifier.py
+++ b/gingergap/standins/notifier.py
@@ -5,9 +5,9 @@
 import msgspec
 
 from ..sip.dialogs import SipDialog, next_hop
-from ..sip.fields import seconds_of
+from ..sip.fields import parse_seconds
 from ..sip.message import BadMessageError, Message, response
-from ..sip.transactions import MAGIC, Client, Server, Transactions
+from ..sip.transactions import MAGIC_COOKIE, ClientTransaction, ServerTransaction, Transactions
 
 SECOND = 10_000
 
@@ -30,10 +30,10 @@
         self.lines: dict[object, dict[str, object]] = {}
         self.subscriptions: dict[str, Subscription] = {}
 
-    def subscribe(self, now: int, server: Server, message: Message) -> None:
+    def subscribe(self, now: int, server: ServerTransaction, message: Message) -> None:
         """A SUBSCRIBE, the first or one that refreshes: answered, and the full state sent at once."""
         try:
-            lasts = min(seconds_of(message, "Expires", self.longest), self.longest)
+            lasts = min(parse_seconds(message, "Expires", self.longest), self.longest)
             subscription = self.subscriptions.get(message.call_id)
             tag = secrets.token_hex(4)
             if ";tag=" in message.get("To"):
@@ -42,7 +42,7 @@
                     return
                 subscription.ends = now + lasts * SECOND
             else:
-                subscription = Subscription(SipDialog.of_uas(message, tag), now + lasts * SECOND, message.call_id)
+                subscription = Subscription(SipDialog.from_request(message, tag), now + lasts * SECOND, message.call_id)
         except BadMessageError as bad:
             self.transactions.respond(now, server, response(message, bad.status or 400))
             return
@@ -64,12 +64,12 @@
             else:
                 self._notify(now, subscription, "partial", list(lines.values()))
 
-    def lost(self, client: Client) -> None:
+    def lost(self, client: ClientTransaction) -> None:
         """A NOTIFY that nobody answered ends its subscription."""
         if isinstance(client.owner, Subscription):
             self.subscriptions.pop(client.owner.key, None)
 
-    def answered(self, client: Client, message: Message) -> None:
+    def answered(self, client: ClientTransaction, message: Message) -> None:
         if isinstance(client.owner, Subscription) and message.status >= 300:
             self.subscriptions.pop(client.owner.key, None)
 
@@ -83,4 +83,4 @@
             ("Content-Type", "application/json"),
         ]
         message.body = msgspec.json.encode({"version": self.version, "state": state, "epoch": self.epoch, self.field: lines})
-        self.transactions.request(now, message, next_hop(message), MAGIC + secrets.token_hex(8), subscription)
+        self.transactions.request(now, message, next_hop(message), MAGIC_COOKIE + secrets.token_hex(8), subscription)
--- a/gingergap/switches/messages.py
+++ b/gingergap/switches/messages.py
@@ -8,7 +8,7 @@
 import re
 from typing import Protocol
 
-from ..sip.fields import reason_of
+from ..sip.fields import q850_cause_of
 from ..sip.framing import Framer
 from ..sip.message import BadMessageError, Message, parse
 
@@ -55,7 +55,7 @@
     @property
     def partial(self) -> bool:
         """Whether a message has begun and is not whole."""
-        return bool(self.framer.held)
+        return bool(self.framer.buffer)
 
     def _read(self, whole: bytes) -> Message | None:
         """States come some hundred times a second, and the same on several connections: they are not parsed in full."""
@@ -69,14 +69,14 @@
         return parse(whole, stream=True)
 
     def feed(self, data: bytes) -> None:
-        for message in self.framer.cut(data):
+        for message in self.framer.iter_messages(data):
             if isinstance(message, BadMessageError):
                 raise message
             if message is not None:
-                if message.body and DESCRIPTION_LINE.match(self.framer.held):
+                if message.body and DESCRIPTION_LINE.match(self.framer.buffer):
                     raise BadMessageError("the description goes on behind its length", 400, message)
                 self._take(message)
-        held = self.framer.held
+        held = self.framer.buffer
         if held and not 65 <= held[0] <= 90:
             raise BadMessageError("what follows begins no message", 0)
 
@@ -86,7 +86,7 @@
         if not ID.match(id):
             raise BadMessageError("Call-ID is not 16 hex digits", 400, message)
         if message.method == "BYE":
-            self.taker.released(id, reason_of(message)[0], report)
+            self.taker.released(id, q850_cause_of(message)[0], report)
         elif message.status >= 200:
             method = message.cseq()[1]
             if method == "INVITE" and message.status < 300:
--- a/gingergap/transport/sockets.py
+++ b/gingergap/transport/sockets.py
@@ -66,7 +66,7 @@
 
     def came(self, data: bytes) -> None:
         try:
-            for message in self.framer.cut(data):
+            for message in self.framer.iter_messages(data):
                 if isinstance(message, BadMessageError):
                     self.sockets.owner.got_bad(message, self.hop)
                 else:
@@ -146,7 +146,7 @@
     # --- out ---
 
     def transmit(self, data: bytes, hop: Hop) -> None:
-        """Send; the Wire of transactions.py. Never switches greenlets."""
+        """Send; the Transport of sip/transactions.py. Never switches greenlets."""
         if self.gate is None:
             self._transmit(data, hop)
         else:
--- a/tests/test_restart_state.py
+++ b/tests/test_restart_state.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from gingergap.call_controller import SECOND, CallController
-from gingergap.edge.serve import proxy_of
+from gingergap.edge.serve import build_proxy
 from gingergap.host import GwState, KnownCaller, KnownExchange, KnownPair, Learned, LegEnd, ListEntry, Rsn
 from gingergap.sip.fields import top_via
 from gingergap.store.audit import DialogAudit
@@ -430,11 +430,11 @@
         proxies = []
 
         def proxy_with_store(form, wire, log, _now, _wall, fresh):
-            proxies.append(proxy_of(form, wire, log, now, wall, fresh, None, self.recorder, found))
+            proxies.append(build_proxy(form, wire, log, now, wall, fresh, None, self.recorder, found))
             return proxies[0]
 
         patch = pytest.MonkeyPatch()
-        patch.setattr(conftest, "proxy_of", proxy_with_store)
+        patch.setattr(conftest, "build_proxy", proxy_with_store)
         try:
             super().__init__()
         finally:
@@ -444,7 +444,7 @@
     def kill_and_restart(self, after=2.0):
         """Another proxy, `after` seconds later, with the state that this one had written."""
         wall = 1_000_000.0 + self.now / SECOND
-        self.proxy.learned(self.now, 100)
+        self.proxy.save_learned(self.now, 100)
         store = store_with(self.folder, self.recorder.take_batch(HeartbeatRecord(wall, self.now / SECOND, "b", "p0", 0.0)))
         found = read_state(store, wall + after, self.now / SECOND + after)
         store.close()
@@ -542,10 +542,10 @@
     leg = peers.legs(invite.call_id)[0]
     peers.pass_time(peers.now + 4_000)
     peers.answer(leg, 200)
-    slow = peers.proxy.controller.exchanges[peers.proxy.gws["x2"]]
+    slow = peers.proxy.controller.exchanges[peers.proxy.gw_by_id["x2"]]
     assert slow.recent_setup > 0
     restarted = peers.kill_and_restart(after=0.5)
-    known = restarted.proxy.controller.exchanges[restarted.proxy.gws["x2"]]
+    known = restarted.proxy.controller.exchanges[restarted.proxy.gw_by_id["x2"]]
     assert known.recent_setup == slow.recent_setup and known.expected_setup(restarted.now) < slow.expected_setup(peers.now)
     assert known.group.size == 20
 
--- a/tests/test_spans.py
+++ b/tests/test_spans.py
@@ -9,7 +9,7 @@
 from test_trace import recorded_run, write_trace  # noqa: F401 - recorded_run is a fixture
 
 from gingergap.cli.main import main
-from gingergap.edge.serve import proxy_of
+from gingergap.edge.serve import build_proxy
 from gingergap.metrics.calls import CallMetrics
 from gingergap.sip.fields import top_via
 from gingergap.sip.message import Message
@@ -201,7 +201,7 @@
     import conftest
 
     buffer = TraceBuffer()
-    monkeypatch.setattr(conftest, "proxy_of", lambda *args: proxy_of(*args, buffer))
+    monkeypatch.setattr(conftest, "build_proxy", lambda *args: build_proxy(*args, buffer))
     return peers_of(), buffer
 
 
@@ -263,9 +263,9 @@
 
 def test_turned_away_dialogs_lateness_and_remarks_are_noted(recorded_peers):
     peers, buffer = recorded_peers
-    peers.proxy.ran_late(5_000, 80)
-    peers.proxy.ran_late(5_100, 900)
-    peers.proxy.ran_late(5_200, 30_000)
+    peers.proxy.timer_ran_late(5_000, 80)
+    peers.proxy.timer_ran_late(5_100, 900)
+    peers.proxy.timer_ran_late(5_200, 30_000)
     assert notes_named(buffer, "ran_late") == [[5_100, 900], [5_200, 30_000]]
     invite = peers.invite("001555")
     assert peers.finals(invite.call_id) == [503] and notes_named(buffer, "dialog_rejected")[0][1] == 0
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -14,7 +14,7 @@
 from gingergap import call_controller
 from gingergap.call_controller import CallController
 from gingergap.cli.main import main
-from gingergap.edge.serve import proxy_of
+from gingergap.edge.serve import build_proxy
 from gingergap.settings.edge import EdgeForm
 from gingergap.settings.forms import BadSettingsError
 from gingergap.settings.forms import parse as parse_form
@@ -34,7 +34,7 @@
     import conftest
 
     buffer = TraceBuffer()
-    monkeypatch.setattr(conftest, "proxy_of", lambda *args: proxy_of(*args, buffer))
+    monkeypatch.setattr(conftest, "build_proxy", lambda *args: build_proxy(*args, buffer))
     peers = peers_of()
     for number in range(60):
         invite = peers.invite(f"00{1 + number % 3}{number:03d}", expires=2)
@@ -49,7 +49,7 @@
         peers.pass_time(peers.now + 400)
     peers.tell_list(1, [("x0", "ready", 0), ("x1", "draining", 0), ("x2", "ready", 0)], "full")
     peers.pass_time(peers.now + 30_000)
-    return buffer, Header(FORMAT, module_digest(), "e1", "p0", 0.0, 0, peers.proxy.figures)
+    return buffer, Header(FORMAT, module_digest(), "e1", "p0", 0.0, 0, peers.proxy.controller_arguments)
 
 
 def replay_records(header, records, module=call_controller):
