--- a/tests/test_service_end.py
+++ b/tests/test_service_end.py
@@ -14,7 +14,7 @@
 import gevent
 import pytest
 import test_service_process as scripted
-from gevent import socket as green
+from gevent import socket as gevent_socket
 from test_service_calls import SDP
 from trial import HANGING, MIXED, Trial
 from trial_peers import Reply, now
@@ -87,7 +87,7 @@
 def test_queued_bytes_for_a_slow_reader_are_written_before_its_connection_is_half_closed():
     listener, address = scripted.listener()
     host, port = address.split(":")
-    ours = Stream(green.create_connection((host, int(port))), most_queued=1 << 24, longest_write=5.0)
+    ours = Stream(gevent_socket.create_connection((host, int(port))), most_queued=1 << 24, longest_write=5.0)
     peer, _ = listener.accept()
     answers = b"".join(b"%07d\n" % index for index in range(1_500_000))  # more than the kernel's socket buffers hold
     ours.put(answers)
@@ -182,7 +182,7 @@
         def came(self, data):
             came.append(data)
 
-    ours = RecordingStream(green.create_connection((host, int(port))), most_queued=1000, longest_write=1.0)
+    ours = RecordingStream(gevent_socket.create_connection((host, int(port))), most_queued=1000, longest_write=1.0)
     peer, _ = listener.accept()
     peer.sendall(b"answer")
     peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -366,10 +366,10 @@
 
 # Guards against a connection that comes up after it was given up: a switch would send releases on it, which nobody reads.
 def test_a_connection_that_is_given_up_while_it_opens_never_comes_up():
-    listener = green.socket()
+    listener = gevent_socket.socket()
     listener.bind(("127.0.0.1", 0))
     listener.listen(0)  # one connection fits into the backlog
-    waiting = green.create_connection(listener.getsockname())
+    waiting = gevent_socket.create_connection(listener.getsockname())
     stream = Stream(None, most_queued=1000, longest_write=1.0)
     opening = gevent.spawn(stream.connect, listener.getsockname(), 5.0)
     gevent.sleep(0.1)
@@ -440,7 +440,7 @@
 
 # Guards against opening a connection that was given up before.
 def test_a_connection_that_was_given_up_before_it_opens_is_not_opened():
-    listener = green.socket()
+    listener = gevent_socket.socket()
     listener.bind(("127.0.0.1", 0))
     listener.listen(5)
     stream = Stream(None, most_queued=1000, longest_write=1.0)
--- a/tests/test_service_process.py
+++ b/tests/test_service_process.py
@@ -92,9 +92,9 @@
                 self.received.put((conn, message))
                 if message.method == "INVITE":
                     reply = self.replies.pop(0) if len(self.replies) > 1 else self.replies[0]
-                    data = reply(message.call_id)
-                    if data is not None:
-                        conn.sendall(data)
+                    response = reply(message.call_id)
+                    if response is not None:
+                        conn.sendall(response)
 
     def next(self, method):
         while True:
@@ -111,10 +111,10 @@
         self.requested = queue.Queue()
         super().__init__()
 
-    def publish(self, *lines, number=None, whole=False):
+    def publish(self, *entries, number=None, whole=False):
         with self.more:
             self.events.append(
-                {"offset": number or 2 + len(self.events), "topology": {"rev": 1, "all": whole, "targets": list(lines)}}
+                {"offset": number or 2 + len(self.events), "topology": {"rev": 1, "all": whole, "targets": list(entries)}}
             )
             self.more.notify_all()
 
@@ -126,13 +126,13 @@
             after = int(line.split(b"from=")[1].split(b"&")[0])
             self.requested.put(after)
             with self.more:
-                self.more.wait_for(lambda after=after: any(e["offset"] > after for e in self.events), 0.5)
-                batch = [e for e in self.events if e["offset"] > after]
+                self.more.wait_for(lambda after=after: any(event["offset"] > after for event in self.events), 0.5)
+                batch = [event for event in self.events if event["offset"] > after]
             body = json.dumps({"offset": batch[-1]["offset"] if batch else after, "batch": batch}).encode()
             conn.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
 
-def line(uid, number, address, state="in_service"):
+def list_entry(uid, number, address, state="in_service"):
     return {"uid": uid, "endpoint": address, "pod_group": number, "state": state, "boot_ms": 0}
 
 
@@ -188,9 +188,9 @@
                             "rev": 1,
                             "all": True,
                             "targets": [
-                                line("s0", 0, "127.0.0.1:9"),
+                                list_entry("s0", 0, "127.0.0.1:9"),
                                 *(
-                                    line(uid, int(uid[1:]), switch.address, known_states.get(uid, "in_service"))
+                                    list_entry(uid, int(uid[1:]), switch.address, known_states.get(uid, "in_service"))
                                     for uid, switch in self.switches.items()
                                 ),
                             ],
@@ -345,7 +345,7 @@
 def test_a_drain_is_applied_from_the_bus_and_after_a_sighup_from_the_new_bus(start):
     service = start()
     caller = service.caller()
-    service.bus.publish(line("s1", 1, service.switches["s1"].address, "terminating"))
+    service.bus.publish(list_entry("s1", 1, service.switches["s1"].address, "terminating"))
     while service.bus.requested.get(timeout=WAIT) < 2:
         pass
     caller.set_up(A)
@@ -360,7 +360,7 @@
         service.write()
         service.process.send_signal(signal.SIGHUP)
         assert other.requested.get(timeout=WAIT) == 2  # the offsets continue
-        other.publish(line("s1", 1, service.switches["s1"].address), number=3)
+        other.publish(list_entry("s1", 1, service.switches["s1"].address), number=3)
         while other.requested.get(timeout=WAIT) < 3:
             pass
         caller.set_up(B)
--- a/tests/test_service_switch_connections.py
+++ b/tests/test_service_switch_connections.py
@@ -152,7 +152,7 @@
 
 def test_reports_are_taken_from_one_connection_and_from_another_when_it_is_lost(switch):
     switch.owner.calls = type(
-        "Noted", (), {"reports": [], "trunk_group_reported": lambda self, now, gw, report: self.reports.append(report)}
+        "Calls", (), {"reports": [], "trunk_group_reported": lambda self, now, gw, report: self.reports.append(report)}
     )()
     first, second = switch.choose_link(set()), switch.choose_link(set())
     for link in (first, second):
