--- a/gingergap/service/calls.py
+++ b/gingergap/service/calls.py
@@ -363,9 +363,9 @@
             "set-up-answered", id, switch=self.switch_ids[gw], leg=call.leg_count, after_ms=setup_duration // UNITS_PER_MS
         )
         if self.diagnostics is not None:
-            self.diagnostics.answered(gw, setup_duration)
+            self.diagnostics.leg_answered(gw, setup_duration)
             dialog = self.controller.dialogs.get(call.dialog)
-            self.diagnostics.leg_over(gw, dialog is not None and dialog.destination == self.exchange_numbers.get(gw), "200")
+            self.diagnostics.leg_ended(gw, dialog is not None and dialog.destination == self.exchange_numbers.get(gw), "200")
         self.established.setdefault(gw, {})[id] = call
         self.wire.call_established(call.conn)
         delivered = self.wire.send_to_caller(call.conn, json_lines.encode_answer(id, sdp))
@@ -426,7 +426,7 @@
         self.increment(f"legs refused {status} {fail_word}")
         if self.diagnostics is not None:
             dialog = self.controller.dialogs.get(call.dialog)
-            self.diagnostics.leg_over(
+            self.diagnostics.leg_ended(
                 gw, dialog is not None and dialog.destination == self.exchange_numbers.get(gw), f"{status} {fail_word}"
             )
         self._end_leg(call, leg_end, NOTES.get(fail_word, Rsn.NONE), free, size)
@@ -460,7 +460,7 @@
         self.now = now
         free, size = circuits_in(report)
         if self.diagnostics is not None:
-            self.diagnostics.reported(gw, free, size)
+            self.diagnostics.trunk_group_reported(gw, free, size)
         self._report_trunk_group(gw, free, size)
 
     def _report_trunk_group(self, gw: int, free: int, size: int) -> None:
