--- a/benchmarks/causes.py
+++ b/benchmarks/causes.py
@@ -17,8 +17,8 @@
 
 from gingergap.settings.day import DayForm
 from gingergap.settings.forms import read
+from gingergap.standins.day_plan import Plan
 from gingergap.standins.player import form
-from gingergap.standins.script import Plan
 from gingergap.trace.causes import bad_stretches
 from gingergap.trace.stream import opened
 from gingergap.trace.tally import Tally
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -20,7 +20,7 @@
 
 from gingergap.settings.day import DayForm
 from gingergap.settings.forms import read
-from gingergap.standins.script import Plan
+from gingergap.standins.day_plan import Plan
 from gingergap.store.record_store import RecordStore
 from gingergap.store.records import ALIVE, CALLER, EXCHANGE, PAIR, Change
 from gingergap.trace.stories import STOOD, stories_of
--- a/gingergap/cli/main.py
+++ b/gingergap/cli/main.py
@@ -90,7 +90,7 @@
 
 def _standin(path: Path) -> tuple[Any, Any]:
     from ..settings.day import DayForm, StandinForm
-    from ..standins.script import Plan
+    from ..standins.day_plan import Plan
 
     form = _read(path, standin=StandinForm)
     day = _read(Path(form.day), day=DayForm)
--- a/gingergap/emulator/day.py
+++ b/gingergap/emulator/day.py
@@ -12,7 +12,7 @@
 from ..call_controller import CallController
 from ..host import GwState, LegEnd, Rsn, TrafficType
 from ..settings.day import DayForm
-from ..standins.script import LONG_AGO, NEVER, Plan
+from ..standins.day_plan import LONG_AGO, NEVER, Plan
 from .engine import SECOND, Engine
 from .groups import Groups
 from .machines import Machine
--- a/gingergap/emulator/groups.py
+++ b/gingergap/emulator/groups.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from ..standins.script import Plan
+from ..standins.day_plan import Plan
 from .engine import SECOND, Engine
 
 LOOK = 400  # tenths of a millisecond between an exchange's looks at its groups
--- a/gingergap/emulator/machines.py
+++ b/gingergap/emulator/machines.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from ..standins.script import LONG_AGO, Life, Plan
+from ..standins.day_plan import LONG_AGO, Life, Plan
 from .engine import SECOND
 
 STEP = 0.05  # seconds for which a changing speed counts as steady
--- a/gingergap/standins/caller.py
+++ b/gingergap/standins/caller.py
@@ -19,9 +19,9 @@
 from ..sip.message import Message, response
 from ..sip.transactions import MAGIC, Client, Hop, Lost, Server, State
 from .capture import Capture, HarmfulGate
+from .day_plan import Plan
 from .element import Element, units
 from .exchange import BODY
-from .script import Plan
 
 SPREAD = 0.5  # of the logarithm of how long a dialog lasts
 
--- a/gingergap/standins/capture.py
+++ b/gingergap/standins/capture.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from ..sip.transactions import Hop
-from .script import Plan
+from .day_plan import Plan
 
 ENCODE = msgspec.json.Encoder().encode
 
--- a/gingergap/standins/exchange.py
+++ b/gingergap/standins/exchange.py
@@ -23,9 +23,9 @@
 from ..sip.transactions import MAGIC, Client, Hop, Lost, Server, stamp_via
 from .capture import Capture, HarmfulGate
 from .circuits import SharedCircuits
+from .day_plan import LONG_AGO, NEVER, Life, Plan
 from .element import Element, units
 from .notifier import Notifier
-from .script import LONG_AGO, NEVER, Life, Plan
 
 FORWARDED = MAGIC + "t"
 LONGEST_SETUP = 15.0  # seconds after which circuits of a set-up that was never finished are freed
--- a/gingergap/standins/exchange_list.py
+++ b/gingergap/standins/exchange_list.py
@@ -10,9 +10,9 @@
 from ..sip.message import Message, response
 from ..sip.transactions import Client, Hop, Lost, Server
 from .capture import Capture, HarmfulGate
+from .day_plan import LONG_AGO, Plan
 from .element import Element, units
 from .notifier import Notifier
-from .script import LONG_AGO, Plan
 
 
 class ExchangeList(Element):
--- a/gingergap/standins/player.py
+++ b/gingergap/standins/player.py
@@ -16,8 +16,8 @@
 from ..settings.day import DayForm
 from .capture import Capture
 from .circuits import SharedCircuits
+from .day_plan import Plan
 from .links import Links
-from .script import Plan
 
 HOST = "127.0.0.1"
 LEAD = 2.0  # seconds until the day begins, and more for each process that has to come up
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -14,8 +14,8 @@
 from gingergap.settings.day import DayForm
 from gingergap.settings.edge import EdgeForm
 from gingergap.settings.forms import BadSettingsError, parse
+from gingergap.standins.day_plan import LONG_AGO, NEVER, Plan
 from gingergap.standins.player import form, free_ports
-from gingergap.standins.script import LONG_AGO, NEVER, Plan
 
 DAY = """
 (day (name "short") (seconds %s) (exchanges 3) (rate 8)
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -16,7 +16,7 @@
 from gingergap.host import GwState, LegEnd
 from gingergap.settings.day import KINDS, DayForm
 from gingergap.settings.forms import parse
-from gingergap.standins.script import Plan
+from gingergap.standins.day_plan import Plan
 
 DAY = """(day (name "d") (seconds %s) (exchanges %s) (rate %s) (skew 0)
   (traffic-type (name "a") (share 1) (circuits 1) (hold-s %s) (setup-objective-ms 1500) (no-answer-time-ms 9000) (patience-s 3))
