--- a/benchmarks/causes.py
+++ b/benchmarks/causes.py
@@ -17,7 +17,7 @@
 
 from gingergap.settings.day import DayForm
 from gingergap.settings.forms import read
-from gingergap.standins.day_plan import Plan
+from gingergap.standins.day_plan import DayPlan
 from gingergap.standins.player import form
 from gingergap.trace.causes import bad_stretches
 from gingergap.trace.stream import opened
@@ -136,7 +136,7 @@
 def named(kind, seed, folder):
     """What is named for each proxy that the trouble concerns: (proxy, cause or 'nothing')."""
     day = read(folder / "day.sexp", day=DayForm)
-    plan = Plan(day, seed)
+    plan = DayPlan(day, seed)
     struck = plan.strikes[0].members
     fault = day.fault[0]
     found = []
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -20,7 +20,7 @@
 
 from gingergap.settings.day import DayForm
 from gingergap.settings.forms import read
-from gingergap.standins.day_plan import Plan
+from gingergap.standins.day_plan import DayPlan
 from gingergap.store.record_store import RecordStore
 from gingergap.store.records import ALIVE, CALLER, EXCHANGE, PAIR, Change
 from gingergap.trace.stories import STOOD, stories_of
@@ -96,7 +96,7 @@
 def judged(folder, seed, restarted):
     """Service, legs to bad exchanges, dialogs: of the first seconds of processes that began within the day, or of all."""
     day = read(DAY, day=DayForm)
-    plan = Plan(day, seed)
+    plan = DayPlan(day, seed)
     worth = earned = 0.0
     bad = legs = came = 0
     first_start = {}
--- a/gingergap/cli/main.py
+++ b/gingergap/cli/main.py
@@ -90,11 +90,11 @@
 
 def _standin(path: Path) -> tuple[Any, Any]:
     from ..settings.day import DayForm, StandinForm
-    from ..standins.day_plan import Plan
+    from ..standins.day_plan import DayPlan
 
     form = _read(path, standin=StandinForm)
     day = _read(Path(form.day), day=DayForm)
-    return form, Plan(day, form.seed)
+    return form, DayPlan(day, form.seed)
 
 
 def _places(form: Any) -> tuple[list[tuple[str, int]], list[tuple[str, int]], dict[tuple[str, int], int]]:
--- a/gingergap/emulator/day.py
+++ b/gingergap/emulator/day.py
@@ -12,7 +12,7 @@
 from ..call_controller import CallController
 from ..host import GwState, LegEnd, Rsn, TrafficType
 from ..settings.day import DayForm
-from ..standins.day_plan import LONG_AGO, NEVER, Plan
+from ..standins.day_plan import LONG_AGO, NEVER, DayPlan
 from .engine import SECOND, Engine
 from .groups import Groups
 from .machines import Machine
@@ -82,7 +82,7 @@
 
     def __init__(self, form: DayForm, seed: int, make: Callable[..., Any] | None = None) -> None:
         self.form, self.seed = form, seed
-        self.plan = Plan(form, seed)
+        self.plan = DayPlan(form, seed)
         self.figures_told = figures_of(form)
         self.engine = Engine(1)
         self.rules = Rules(units(form.release_guard_ms), units(form.drain_grace_ms))
--- a/gingergap/emulator/groups.py
+++ b/gingergap/emulator/groups.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from ..standins.day_plan import Plan
+from ..standins.day_plan import DayPlan
 from .engine import SECOND, Engine
 
 LOOK = 400  # tenths of a millisecond between an exchange's looks at its groups
@@ -11,7 +11,7 @@
 class Groups:
     """`tell(here, number, free, size)` reaches the proxy of `here`."""
 
-    def __init__(self, engine: Engine, plan: Plan, tell: Callable[[int, int, int, int], None]) -> None:
+    def __init__(self, engine: Engine, plan: DayPlan, tell: Callable[[int, int, int, int], None]) -> None:
         self.engine, self.plan, self.tell = engine, plan, tell
         self.count = plan.day.exchanges
         self.held: dict[tuple[int, int], int] = {}
--- a/gingergap/emulator/machines.py
+++ b/gingergap/emulator/machines.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from ..standins.day_plan import LONG_AGO, Life, Plan
+from ..standins.day_plan import LONG_AGO, DayPlan, Life
 from .engine import SECOND
 
 STEP = 0.05  # seconds for which a changing speed counts as steady
@@ -12,7 +12,7 @@
     """`life` as the day's plan draws it. Times in seconds of the day, as the plan has them; those handed in and out in
     tenths of a millisecond."""
 
-    def __init__(self, plan: Plan, life: Life) -> None:
+    def __init__(self, plan: DayPlan, life: Life) -> None:
         self.plan, self.life, self.number = plan, life, life.number
         self.free_at = 0.0  # when the line has done all that was put on it
         self.fallen = False
--- a/gingergap/standins/caller.py
+++ b/gingergap/standins/caller.py
@@ -19,7 +19,7 @@
 from ..sip.message import Message, response
 from ..sip.transactions import MAGIC, Client, Hop, Lost, Server, State
 from .capture import Capture, HarmfulGate
-from .day_plan import Plan
+from .day_plan import DayPlan
 from .element import Element, units
 from .exchange import BODY
 
@@ -58,7 +58,7 @@
     """All callers of exchange `home`, who reach their proxy at `proxy`."""
 
     def __init__(
-        self, plan: Plan, home: int, address: tuple[str, int], proxy: tuple[str, int], epoch: float, capture: Capture
+        self, plan: DayPlan, home: int, address: tuple[str, int], proxy: tuple[str, int], epoch: float, capture: Capture
     ) -> None:
         self.plan, self.home, self.proxy, self.epoch = plan, home, proxy, epoch
         gate = HarmfulGate(capture, plan, self.now, f"{address[0]}:{address[1]}", f"{plan.seed} callers {home}", frozenset([proxy]))
@@ -227,7 +227,7 @@
             client.owner.answered.set()
 
 
-def play(plan: Plan, home: int, address: tuple[str, int], proxy: tuple[str, int], epoch: float, report: Path) -> None:
+def play(plan: DayPlan, home: int, address: tuple[str, int], proxy: tuple[str, int], epoch: float, report: Path) -> None:
     """Call for the day's length, let the last tries end, and write what became of each dialog."""
     capture = Capture(report / f"part-callers-{home}.jsonl", plan.day.capture)
     callers = Callers(plan, home, address, proxy, epoch, capture)
--- a/gingergap/standins/capture.py
+++ b/gingergap/standins/capture.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from ..sip.transactions import Hop
-from .day_plan import Plan
+from .day_plan import DayPlan
 
 ENCODE = msgspec.json.Encoder().encode
 
@@ -58,7 +58,7 @@
     def __init__(
         self,
         capture: Capture,
-        plan: Plan,
+        plan: DayPlan,
         clock: Callable[[], float],
         own: str,
         seed: str,
--- a/gingergap/standins/day_plan.py
+++ b/gingergap/standins/day_plan.py
@@ -38,7 +38,7 @@
 NEVER = float("inf")
 
 
-class Plan:
+class DayPlan:
     """A day drawn from its seed."""
 
     def __init__(self, day: DayForm, seed: int) -> None:
--- a/gingergap/standins/exchange.py
+++ b/gingergap/standins/exchange.py
@@ -23,7 +23,7 @@
 from ..sip.transactions import MAGIC, Client, Hop, Lost, Server, stamp_via
 from .capture import Capture, HarmfulGate
 from .circuits import SharedCircuits
-from .day_plan import LONG_AGO, NEVER, Life, Plan
+from .day_plan import LONG_AGO, NEVER, DayPlan, Life
 from .element import Element, units
 from .notifier import Notifier
 
@@ -50,7 +50,7 @@
 
     def __init__(
         self,
-        plan: Plan,
+        plan: DayPlan,
         life: Life,
         address: tuple[str, int],
         proxy: tuple[str, int],
@@ -546,7 +546,7 @@
 
 
 def play(
-    plan: Plan,
+    plan: DayPlan,
     number: int,
     epoch: float,
     addresses: list[tuple[str, int]],
--- a/gingergap/standins/exchange_list.py
+++ b/gingergap/standins/exchange_list.py
@@ -10,7 +10,7 @@
 from ..sip.message import Message, response
 from ..sip.transactions import Client, Hop, Lost, Server
 from .capture import Capture, HarmfulGate
-from .day_plan import LONG_AGO, Plan
+from .day_plan import LONG_AGO, DayPlan
 from .element import Element, units
 from .notifier import Notifier
 
@@ -20,7 +20,7 @@
 
     def __init__(
         self,
-        plan: Plan,
+        plan: DayPlan,
         address: tuple[str, int],
         addresses: dict[int, list[str]],
         epoch: float,
@@ -74,7 +74,7 @@
 
 
 def play(
-    plan: Plan,
+    plan: DayPlan,
     address: tuple[str, int],
     addresses: dict[int, list[str]],
     epoch: float,
--- a/gingergap/standins/player.py
+++ b/gingergap/standins/player.py
@@ -16,7 +16,7 @@
 from ..settings.day import DayForm
 from .capture import Capture
 from .circuits import SharedCircuits
-from .day_plan import Plan
+from .day_plan import DayPlan
 from .links import Links
 
 HOST = "127.0.0.1"
@@ -80,7 +80,7 @@
     def __init__(self, day: DayForm, path: Path, seed: int, folder: Path, stores: Path | None = None) -> None:
         """`stores` holds a folder `store-N` for each proxy that shall begin with what another day left."""
         self.day, self.path, self.seed, self.folder = day, path.resolve(), seed, folder.resolve()
-        self.plan, self.stores = Plan(day, seed), stores
+        self.plan, self.stores = DayPlan(day, seed), stores
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.logs: list[Any] = []
         count = day.exchanges
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -14,7 +14,7 @@
 from gingergap.settings.day import DayForm
 from gingergap.settings.edge import EdgeForm
 from gingergap.settings.forms import BadSettingsError, parse
-from gingergap.standins.day_plan import LONG_AGO, NEVER, Plan
+from gingergap.standins.day_plan import LONG_AGO, NEVER, DayPlan
 from gingergap.standins.player import form, free_ports
 
 DAY = """
@@ -106,14 +106,14 @@
 
 def test_a_day_is_drawn_alike_by_every_process():
     day = day_of("(fault (kind vanish) (at 2) (lasts 1) (share 0.4)) (fault (kind rolling) (at 4) (lasts 2) (share 1))")
-    one, two, other = Plan(day, 1), Plan(day, 1), Plan(day, 2)
+    one, two, other = DayPlan(day, 1), DayPlan(day, 1), DayPlan(day, 2)
     assert (one.lives, one.sizes, one.weights, one.tcp) == (two.lives, two.sizes, two.weights, two.tcp)
     assert one.sizes != other.sizes
 
 
 def test_machines_are_replaced_and_come_back_cold():
     day = day_of("(fault (kind vanish) (at 2) (lasts 1) (share 0.34)) (fault (kind rolling) (at 4) (lasts 3) (share 1))")
-    plan = Plan(day, 1)
+    plan = DayPlan(day, 1)
     gone = [life for life in plan.lives if life.dies == 2]
     assert len(gone) == 1 and not gone[0].orderly
     (back,) = [life for life in plan.lives if life.born == 3]
@@ -128,7 +128,7 @@
 
 
 def test_faults_strike_when_and_whom_the_script_says():
-    plan = Plan(
+    plan = DayPlan(
         day_of(
             "(fault (kind district-cut) (at 1) (lasts 2) (share 0.34)) "
             "(fault (kind groups-shrink) (at 5) (lasts 1) (share 1) (factor 2)) "
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -16,7 +16,7 @@
 from gingergap.host import GwState, LegEnd
 from gingergap.settings.day import KINDS, DayForm
 from gingergap.settings.forms import parse
-from gingergap.standins.day_plan import Plan
+from gingergap.standins.day_plan import DayPlan
 
 DAY = """(day (name "d") (seconds %s) (exchanges %s) (rate %s) (skew 0)
   (traffic-type (name "a") (share 1) (circuits 1) (hold-s %s) (setup-objective-ms 1500) (no-answer-time-ms 9000) (patience-s 3))
@@ -223,7 +223,7 @@
     form = day_of(
         more="(fault (kind slow) (at 5) (lasts 5) (share 1) (factor 4)) (fault (kind vanish) (at 12) (lasts 1) (share 1))"
     )
-    plan = Plan(form, 1)
+    plan = DayPlan(form, 1)
     old = next(life for life in plan.lives if life.number == 0 and life.born < 0)
     new = next(life for life in plan.lives if life.number == 0 and life.born > 0)
     machine = Machine(plan, old)
