--- a/gingergap/emulator/day.py
+++ b/gingergap/emulator/day.py
@@ -119,8 +119,8 @@
         make = make or self._controller
         exchanges = form.exchanges
         first = []
-        for life in self.plan.lives:
-            if life.born == LONG_AGO:
+        for life in self.plan.machine_runs:
+            if life.starts_at == LONG_AGO:
                 self._born(life)
                 first.append((life.id, life.number))
         self.proxies = [
@@ -165,11 +165,11 @@
     took = 0.0
 
     def _script(self) -> None:
-        for life in self.plan.lives:
-            if life.born > LONG_AGO:
-                self.engine.at(round(life.born * SECOND), self._born, life)
-            if life.dies < NEVER:
-                self.engine.at(round(life.dies * SECOND), self._dies, life)
+        for life in self.plan.machine_runs:
+            if life.starts_at > LONG_AGO:
+                self.engine.at(round(life.starts_at * SECOND), self._born, life)
+            if life.stops_at < NEVER:
+                self.engine.at(round(life.stops_at * SECOND), self._dies, life)
         for when, name, number, state, started in self.plan.list_news():
             self.engine.at(
                 round(when * SECOND), self._news, name, number, STATES[state], max(1, round(started * SECOND)) if started > 0 else 0
@@ -193,19 +193,19 @@
     def _born(self, life: Any) -> None:
         machine = self.machines[life.id] = Machine(self.plan, life)
         self.by_number[life.number] = machine
-        if life.born > LONG_AGO:
+        if life.starts_at > LONG_AGO:
             self.rules.cold()
 
     def _dies(self, life: Any) -> None:
         """A machine stops: dialogs at it are cut, told so where it stops in good order."""
         machine = self.machines.get(life.id)
-        if machine is None or machine.life != life and machine.life.born != life.born:
+        if machine is None or machine.life != life and machine.life.starts_at != life.starts_at:
             return
         for caller, proxy, leg in list(self.standing.values()):
             if leg.holds is not None and (
                 leg.holds.machine is machine or leg.holds.beyond is not None and self._end_machine(leg) is machine
             ):
-                self._cut(caller, proxy, leg, life.orderly)
+                self._cut(caller, proxy, leg, life.orderly_stop)
 
     def _end_machine(self, leg: Leg) -> Machine | None:
         beyond = leg.holds.beyond.leg if leg.holds is not None and leg.holds.beyond is not None else None
@@ -235,16 +235,18 @@
             return
         proxy.start()
         now, lines = self.engine.now, []
-        for life in self.plan.lives:
-            if life.born <= now / SECOND:
+        for life in self.plan.machine_runs:
+            if life.starts_at <= now / SECOND:
                 state = (
                     GwState.GONE
-                    if now / SECOND >= life.dies
+                    if now / SECOND >= life.stops_at
                     else GwState.DRAINING
-                    if now / SECOND >= life.drains
+                    if now / SECOND >= life.drains_at
                     else GwState.READY
                 )
-                lines.append((life.id, life.number, state, max(1, round(life.born * SECOND)) if life.born > LONG_AGO else 0))
+                lines.append(
+                    (life.id, life.number, state, max(1, round(life.starts_at * SECOND)) if life.starts_at > LONG_AGO else 0)
+                )
         self.engine.after(2 * HOP, self._if_running, proxy, proxy.listed, lines)
         for other in range(self.form.exchanges):
             if other != number:
--- a/gingergap/emulator/machines.py
+++ b/gingergap/emulator/machines.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from ..standins.day_plan import LONG_AGO, DayPlan, Life
+from ..standins.day_plan import LONG_AGO, DayPlan, MachineRun
 from .engine import SECOND
 
 STEP = 0.05  # seconds for which a changing speed counts as steady
@@ -12,13 +12,13 @@
     """`life` as the day's plan draws it. Times in seconds of the day, as the plan has them; those handed in and out in
     tenths of a millisecond."""
 
-    def __init__(self, plan: DayPlan, life: Life) -> None:
+    def __init__(self, plan: DayPlan, life: MachineRun) -> None:
         self.plan, self.life, self.number = plan, life, life.number
         self.free_at = 0.0  # when the line has done all that was put on it
         self.fallen = False
         self.arrivals: deque[float] = deque()
         cold = plan.day.cold
-        self.warm_at = life.born + cold.warm_after_ms / 1000 if life.born > LONG_AGO else LONG_AGO
+        self.warm_at = life.starts_at + cold.warm_after_ms / 1000 if life.starts_at > LONG_AGO else LONG_AGO
         self.unsteady = [
             (strike.fault.at, strike.fault.at + strike.fault.lasts)
             for strike in plan.strikes
@@ -34,7 +34,7 @@
 
     def runs(self, now: int) -> bool:
         at = now / SECOND
-        return self.life.born <= at < self.life.dies
+        return self.life.starts_at <= at < self.life.stops_at
 
     def silent(self, now: int) -> bool:
         at = now / SECOND
--- a/gingergap/standins/day_plan.py
+++ b/gingergap/standins/day_plan.py
@@ -13,16 +13,16 @@
 BACK = 2.0  # seconds that a machine which died of age takes to start
 
 
-class Life(NamedTuple):
+class MachineRun(NamedTuple):
     """One machine from its start to its stop. `drains` and `dies` are infinite where they don't come."""
 
     id: str
     number: int
-    slot: int  # which of the exchange's addresses it listens on
-    born: float
-    drains: float
-    dies: float
-    orderly: bool  # its standing dialogs are told that they are cut
+    address_index: int  # which of the exchange's addresses it listens on
+    starts_at: float
+    drains_at: float
+    stops_at: float
+    orderly_stop: bool  # its standing dialogs are told that they are cut
 
 
 class Strike(NamedTuple):
@@ -54,7 +54,7 @@
         self.tcp = {number for number in range(count) if draw.random() < day.exchange_tcp}
         if day.exchange_tcp > 0 and not self.tcp:
             self.tcp = {count - 1}
-        self.lives: list[Life] = [Life(f"x{n}", n, 0, LONG_AGO, NEVER, NEVER, False) for n in range(count)]
+        self.machine_runs: list[MachineRun] = [MachineRun(f"x{n}", n, 0, LONG_AGO, NEVER, NEVER, False) for n in range(count)]
         for strike in sorted(self.strikes, key=lambda entry: entry.fault.at):
             self._strike_lives(strike)
 
@@ -83,25 +83,25 @@
 
     def _alive(self, number: int, when: float) -> int | None:
         found = None
-        for place, life in enumerate(self.lives):
-            if life.number == number and life.born <= when < min(life.drains, life.dies):
+        for place, life in enumerate(self.machine_runs):
+            if life.number == number and life.starts_at <= when < min(life.drains_at, life.stops_at):
                 found = place
         return found
 
     def _restart(self, number: int, dies: float, back: float) -> None:
         place = self._alive(number, dies)
         if place is not None:
-            old = self.lives[place]
-            self.lives[place] = old._replace(dies=dies)
-            self.lives.append(Life(old.id, number, old.slot, back, NEVER, NEVER, False))
+            old = self.machine_runs[place]
+            self.machine_runs[place] = old._replace(stops_at=dies)
+            self.machine_runs.append(MachineRun(old.id, number, old.address_index, back, NEVER, NEVER, False))
 
     def _replace(self, number: int, when: float) -> None:
         place = self._alive(number, when)
         if place is not None:
-            old = self.lives[place]
-            self.lives[place] = old._replace(drains=when, dies=when + DRAIN, orderly=True)
-            count = sum(1 for life in self.lives if life.number == number)
-            self.lives.append(Life(f"x{number}r{count}", number, 1 - old.slot, when, NEVER, NEVER, False))
+            old = self.machine_runs[place]
+            self.machine_runs[place] = old._replace(drains_at=when, stops_at=when + DRAIN, orderly_stop=True)
+            count = sum(1 for life in self.machine_runs if life.number == number)
+            self.machine_runs.append(MachineRun(f"x{number}r{count}", number, 1 - old.address_index, when, NEVER, NEVER, False))
 
     # --- what holds at a moment ---
 
@@ -129,10 +129,10 @@
             for strike in self.strikes
         )
 
-    def speed(self, life: Life, now: float) -> float:
+    def speed(self, life: MachineRun, now: float) -> float:
         """What a processor can do as a part of what a warm and well one can; 0 while it stands still."""
         speed = 1.0
-        age = now - life.born
+        age = now - life.starts_at
         cold = self.day.cold
         warm = cold.warm_after_ms / 1000
         if age < warm:
@@ -148,17 +148,17 @@
                 speed = 0.0
         return speed
 
-    def pushed_over(self, life: Life, arrivals: deque[float], now: float) -> bool:
+    def pushed_over(self, life: MachineRun, arrivals: deque[float], now: float) -> bool:
         """A set-up reaches a machine now, after those in `arrivals`, to which it is added: whether a cold one has had more
         of them over the agreed span than the agreed multiple of what it can."""
         cold = self.day.cold
         warm, span = cold.warm_after_ms / 1000, cold.span_ms / 1000
-        if life.born == LONG_AGO or now - life.born > warm:
+        if life.starts_at == LONG_AGO or now - life.starts_at > warm:
             return False
         arrivals.append(now)
         while arrivals[0] <= now - span:
             arrivals.popleft()
-        age = max(0.0, now - span - life.born)
+        age = max(0.0, now - span - life.starts_at)
         can = self.capacity() * (cold.from_share + (1 - cold.from_share) * age / warm)
         return len(arrivals) > cold.multiple * can * span
 
@@ -179,15 +179,19 @@
         """(when told, id, number, state, start) in order of telling; starts long ago are 0."""
         told = self.day.list_
         news = []
-        for life in self.lives:
-            if life.born > LONG_AGO:
-                news.append((life.born + self._late(life.born, told.add_ms), life.id, life.number, "ready", life.born))
-            start = life.born if life.born > LONG_AGO else 0.0
-            if life.drains < NEVER:
-                news.append((life.drains + self._late(life.drains, told.notice_ms / 4), life.id, life.number, "draining", start))
-            if life.dies < NEVER:
-                late = told.notice_ms if life.drains < NEVER else told.silent_notice_ms
-                news.append((life.dies + self._late(life.dies, late), life.id, life.number, "gone", start))
+        for life in self.machine_runs:
+            if life.starts_at > LONG_AGO:
+                news.append(
+                    (life.starts_at + self._late(life.starts_at, told.add_ms), life.id, life.number, "ready", life.starts_at)
+                )
+            start = life.starts_at if life.starts_at > LONG_AGO else 0.0
+            if life.drains_at < NEVER:
+                news.append(
+                    (life.drains_at + self._late(life.drains_at, told.notice_ms / 4), life.id, life.number, "draining", start)
+                )
+            if life.stops_at < NEVER:
+                late = told.notice_ms if life.drains_at < NEVER else told.silent_notice_ms
+                news.append((life.stops_at + self._late(life.stops_at, late), life.id, life.number, "gone", start))
         # The source of a list learns things in the order in which they happened, however late it is.
         news.sort()
         latest: dict[str, float] = {}
--- a/gingergap/standins/exchange.py
+++ b/gingergap/standins/exchange.py
@@ -23,7 +23,7 @@
 from ..sip.transactions import MAGIC, Client, Hop, Lost, Server, stamp_via
 from .capture import Capture, HarmfulGate
 from .circuits import SharedCircuits
-from .day_plan import LONG_AGO, NEVER, DayPlan, Life
+from .day_plan import LONG_AGO, NEVER, DayPlan, MachineRun
 from .element import Element, units
 from .notifier import Notifier
 
@@ -51,7 +51,7 @@
     def __init__(
         self,
         plan: DayPlan,
-        life: Life,
+        life: MachineRun,
         address: tuple[str, int],
         proxy: tuple[str, int],
         proxies: frozenset[tuple[str, int]],
@@ -64,13 +64,13 @@
         self.plan, self.life, self.proxy = plan, life, proxy
         self.homes, self.shared, self.capture, self.epoch = homes, shared, capture, epoch
         self.proxy_hop = Hop("TCP" if proxy_tcp else "UDP", *proxy)
-        self.draw = random.Random(f"{plan.seed} {life.id} {life.born}")
+        self.draw = random.Random(f"{plan.seed} {life.id} {life.starts_at}")
         gate = HarmfulGate(
             capture,
             plan,
             self.now,
             f"{address[0]}:{address[1]}",
-            f"{plan.seed} {life.id} {life.born} gate",
+            f"{plan.seed} {life.id} {life.starts_at} gate",
             proxies,
             self._lost_in,
             self._lost_out,
@@ -100,7 +100,7 @@
                 break
             except OSError:
                 gevent.sleep(0.02)  # the machine before has not let go of the port yet
-        cold = self.life.born > LONG_AGO
+        cold = self.life.starts_at > LONG_AGO
         now = self.epoch + self.now()
         warm = self.plan.day.cold.warm_after_ms / 1000
         self.capture.note(
@@ -521,7 +521,7 @@
         gevent.spawn_later(gap, again)
 
     def _tag(self, key: tuple[str, str]) -> str:
-        return blake2s(f"{self.life.id} {self.life.born} {key}".encode("utf-8", "replace"), digest_size=5).hexdigest()
+        return blake2s(f"{self.life.id} {self.life.starts_at} {key}".encode("utf-8", "replace"), digest_size=5).hexdigest()
 
     def _cancelled(self, now: int, server: Server, message: Message) -> None:
         branch, sent_by, _ = server.key
@@ -559,21 +559,23 @@
     """Run an exchange's machines until the process is ended. `homes` tells which exchange an address belongs to."""
     capture = Capture(report / f"part-exchange-{number}.jsonl", plan.day.capture)
     shared = SharedCircuits(report / "circuits", plan.day.exchanges)
-    running: dict[Life, Machine] = {}
+    running: dict[MachineRun, Machine] = {}
 
-    def live(life: Life) -> None:
-        machine = Machine(plan, life, addresses[life.slot], proxy, frozenset(proxies), homes, shared, capture, epoch, proxy_tcp)
+    def live(life: MachineRun) -> None:
+        machine = Machine(
+            plan, life, addresses[life.address_index], proxy, frozenset(proxies), homes, shared, capture, epoch, proxy_tcp
+        )
         running[life] = machine
         machine.start()
-        if life.dies < NEVER:
-            gevent.sleep(max(0.0, epoch + life.dies - time.monotonic()))
-            machine.stop(life.orderly)
+        if life.stops_at < NEVER:
+            gevent.sleep(max(0.0, epoch + life.stops_at - time.monotonic()))
+            machine.stop(life.orderly_stop)
             del running[life]
 
-    for life in plan.lives:
+    for life in plan.machine_runs:
         now = time.monotonic() - epoch
-        if life.number == number and life.dies > now:
-            gevent.spawn_later(max(0.0, life.born - now), live, life)
+        if life.number == number and life.stops_at > now:
+            gevent.spawn_later(max(0.0, life.starts_at - now), live, life)
     for strike in plan.strikes:
         if strike.fault.kind == "cut":
             wait = epoch + strike.fault.at - time.monotonic()
--- a/gingergap/standins/exchange_list.py
+++ b/gingergap/standins/exchange_list.py
@@ -34,7 +34,7 @@
         super().__init__(address, epoch, gate)
         self.notifier = Notifier(self.transactions, "exchange-list", "exchanges", f"sip:{address[0]}:{address[1]}")
         self.draw = random.Random(f"{plan.seed} list words")
-        self.slots = {life.id: life.slot for life in plan.lives}
+        self.slots = {life.id: life.address_index for life in plan.machine_runs}
 
     def _lost(self, data: bytes, hop: Hop) -> bool:
         return bool(self.plan.anywhere("list-silent", self.now()))
@@ -53,7 +53,7 @@
     def run(self) -> None:
         self.sockets.open()
         self.notifier.lines = {
-            life.id: self._line(life.id, life.number, "ready", 0.0) for life in self.plan.lives if life.born == LONG_AGO
+            life.id: self._line(life.id, life.number, "ready", 0.0) for life in self.plan.machine_runs if life.starts_at == LONG_AGO
         }
         gevent.spawn(self.tick)
         for when, name, number, state, started in self.plan.list_news():
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -114,17 +114,17 @@
 def test_machines_are_replaced_and_come_back_cold():
     day = day_of("(fault (kind vanish) (at 2) (lasts 1) (share 0.34)) (fault (kind rolling) (at 4) (lasts 3) (share 1))")
     plan = DayPlan(day, 1)
-    gone = [life for life in plan.lives if life.dies == 2]
-    assert len(gone) == 1 and not gone[0].orderly
-    (back,) = [life for life in plan.lives if life.born == 3]
+    gone = [life for life in plan.machine_runs if life.stops_at == 2]
+    assert len(gone) == 1 and not gone[0].orderly_stop
+    (back,) = [life for life in plan.machine_runs if life.starts_at == 3]
     assert back.id == gone[0].id
-    drained = [life for life in plan.lives if life.drains < NEVER]
-    assert len(drained) == 3 and all(life.dies > life.drains and life.orderly for life in drained)
+    drained = [life for life in plan.machine_runs if life.drains_at < NEVER]
+    assert len(drained) == 3 and all(life.stops_at > life.drains_at and life.orderly_stop for life in drained)
     news = plan.list_news()
     assert [when for when, *_ in news] == sorted(when for when, *_ in news)
-    fresh = next(life for life in plan.lives if life.born > LONG_AGO)
-    assert plan.speed(fresh, fresh.born) == pytest.approx(day.cold.from_share)
-    assert plan.speed(fresh, fresh.born + 100) == pytest.approx(1)
+    fresh = next(life for life in plan.machine_runs if life.starts_at > LONG_AGO)
+    assert plan.speed(fresh, fresh.starts_at) == pytest.approx(day.cold.from_share)
+    assert plan.speed(fresh, fresh.starts_at + 100) == pytest.approx(1)
 
 
 def test_faults_strike_when_and_whom_the_script_says():
@@ -141,7 +141,7 @@
     assert plan.cut_off(member, others[0], 1.5) and not plan.cut_off(others[0], others[1], 1.5)
     assert not plan.cut_off(member, others[0], 3.5)
     assert plan.size(0, 1, 5.5) == plan.size(0, 1, 4) // 2
-    assert plan.speed(plan.lives[0], 7.2) == 0 and plan.speed(plan.lives[0], 7.7) == 1
+    assert plan.speed(plan.machine_runs[0], 7.2) == 0 and plan.speed(plan.machine_runs[0], 7.7) == 1
 
 
 FAULTS = """
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -224,14 +224,14 @@
         more="(fault (kind slow) (at 5) (lasts 5) (share 1) (factor 4)) (fault (kind vanish) (at 12) (lasts 1) (share 1))"
     )
     plan = DayPlan(form, 1)
-    old = next(life for life in plan.lives if life.number == 0 and life.born < 0)
-    new = next(life for life in plan.lives if life.number == 0 and life.born > 0)
+    old = next(life for life in plan.machine_runs if life.number == 0 and life.starts_at < 0)
+    new = next(life for life in plan.machine_runs if life.number == 0 and life.starts_at > 0)
     machine = Machine(plan, old)
     assert machine.put(10_000, 10) == 10_100 and machine.put(10_000, 10) == 10_200 and machine.wait(10_000) == pytest.approx(0.02)
     assert machine.put(60_000, 10) == 60_400
     assert machine.put(99_900, 10) == 100_100 - 25 or 100_050 <= machine.free_at * SECOND <= 100_350
     cold = Machine(plan, new)
-    begun = round(new.born * SECOND)
+    begun = round(new.starts_at * SECOND)
     assert cold.put(begun, 10) > begun + 250  # a third of the speed at first
     assert not any(cold.arrived(begun + number) for number in range(10)) and cold.runs(begun) and not cold.runs(begun - 1)
     assert any(cold.arrived(begun + 20 + number) for number in range(2_000)) and cold.silent(begun + 5_000)
