--- a/benchmarks/causes.py
+++ b/benchmarks/causes.py
@@ -137,7 +137,7 @@
     """What is named for each proxy that the trouble concerns: (proxy, cause or 'nothing')."""
     day = read(folder / "day.sexp", day=DayForm)
     plan = DayPlan(day, seed)
-    struck = plan.strikes[0].members
+    struck = plan.scheduled_faults[0].targets
     fault = day.fault[0]
     found = []
     for trace in opened([folder / "traces"]):
--- a/benchmarks/memory.py
+++ b/benchmarks/memory.py
@@ -122,9 +122,9 @@
                 struck = {
                     number
                     for kind in ("slow", "vanish")
-                    for strike in plan.strikes
-                    if strike.fault.kind == kind and strike.on(at)
-                    for number in strike.members
+                    for strike in plan.scheduled_faults
+                    if strike.fault.kind == kind and strike.is_active(at)
+                    for number in strike.targets
                 }
                 legs += 1
                 bad += leg.number in struck
--- a/gingergap/emulator/day.py
+++ b/gingergap/emulator/day.py
@@ -106,8 +106,8 @@
         self.chance = {name: Stream(seed, name) for name in ("lines busy", "network", "habits", "holding", "patience", "cuts")}
         self.arrivals = [Stream(seed, f"arrivals {number}") for number in range(form.exchanges)]
         self.ways = [list(accumulate(weights)) for weights in self.plan.weights]
-        self.lossy = [strike for strike in self.plan.strikes if strike.fault.kind in ("loss", "delay", "answers-lost")]
-        self.cuts_off = any(strike.fault.kind == "district-cut" for strike in self.plan.strikes)
+        self.lossy = [strike for strike in self.plan.scheduled_faults if strike.fault.kind in ("loss", "delay", "answers-lost")]
+        self.cuts_off = any(strike.fault.kind == "district-cut" for strike in self.plan.scheduled_faults)
         self.standing: dict[int, tuple[Caller, Proxy, Leg]] = {}
         self.set_up = HdrHistogram(1, 600_000_000, 3)
         self.worth = self.earned = 0.0
@@ -174,15 +174,15 @@
             self.engine.at(
                 round(when * SECOND), self._news, name, number, STATES[state], max(1, round(started * SECOND)) if started > 0 else 0
             )
-        for strike in self.plan.strikes:
+        for strike in self.plan.scheduled_faults:
             fault, begin = strike.fault, round(strike.fault.at * SECOND)
             end = begin + round(fault.lasts * SECOND)
             if fault.kind == "kill-proxy":
-                for number in strike.members:
+                for number in strike.targets:
                     self.engine.at(begin, self.proxies[number].kill)
                     self.engine.at(end, self._start_proxy, number)
             elif fault.kind == "pause-proxy":
-                for number in strike.members:
+                for number in strike.targets:
                     self.engine.at(begin, self._pause, number, end)
             elif fault.kind == "groups-shrink":
                 for when in (begin, end):
@@ -214,8 +214,8 @@
     def _news(self, name: str, number: int, state: GwState, started: int) -> None:
         silent = [
             strike.fault
-            for strike in self.plan.strikes
-            if strike.fault.kind == "list-silent" and strike.on(self.engine.now / SECOND)
+            for strike in self.plan.scheduled_faults
+            if strike.fault.kind == "list-silent" and strike.is_active(self.engine.now / SECOND)
         ]
         if silent:  # told once the list is heard again
             self.engine.at(
@@ -266,7 +266,7 @@
     def _resized(self, strike: Any) -> None:
         for a in range(self.form.exchanges):
             for b in range(a + 1, self.form.exchanges):
-                if strike.members & {a, b}:
+                if strike.targets & {a, b}:
                     self.groups.changed(a, b)
                     self._cut_lost(a, b)
 
@@ -612,11 +612,11 @@
             return 0
         now, delay, lost = self.engine.now / SECOND, 0, 0.0
         for strike in self.lossy:
-            if strike.on(now):
+            if strike.is_active(now):
                 kind = strike.fault.kind
                 if kind == "delay":
                     delay += units(strike.fault.ms)
-                elif kind == "loss" or answers_from in strike.members:
+                elif kind == "loss" or answers_from in strike.targets:
                     lost = 1 - (1 - lost) * (1 - strike.fault.factor)
         gap = T1
         while lost and self.chance["network"].uniform() < lost and gap <= T1 << 5:
--- a/gingergap/emulator/groups.py
+++ b/gingergap/emulator/groups.py
@@ -17,7 +17,7 @@
         self.held: dict[tuple[int, int], int] = {}
         self.dirty: list[set[int]] = [set() for _ in range(self.count)]
         self.looking = [False] * self.count
-        self.varies = any(strike.fault.kind == "groups-shrink" for strike in plan.strikes)
+        self.varies = any(strike.fault.kind == "groups-shrink" for strike in plan.scheduled_faults)
 
     def size(self, a: int, b: int) -> int:
         if self.varies:
--- a/gingergap/emulator/machines.py
+++ b/gingergap/emulator/machines.py
@@ -21,15 +21,15 @@
         self.warm_at = life.starts_at + cold.warm_after_ms / 1000 if life.starts_at > LONG_AGO else LONG_AGO
         self.unsteady = [
             (strike.fault.at, strike.fault.at + strike.fault.lasts)
-            for strike in plan.strikes
+            for strike in plan.scheduled_faults
             if strike.fault.kind == "all-slow"
             or strike.fault.kind in ("slow", "ageing", "pauses")
-            and life.number in strike.members
+            and life.number in strike.targets
         ]
         self.silences = [
             (strike.fault.at, strike.fault.at + strike.fault.lasts)
-            for strike in plan.strikes
-            if strike.fault.kind == "silence" and life.number in strike.members
+            for strike in plan.scheduled_faults
+            if strike.fault.kind == "silence" and life.number in strike.targets
         ]
 
     def runs(self, now: int) -> bool:
--- a/gingergap/standins/day_plan.py
+++ b/gingergap/standins/day_plan.py
@@ -25,13 +25,13 @@
     orderly_stop: bool  # its standing dialogs are told that they are cut
 
 
-class Strike(NamedTuple):
+class ScheduledFault(NamedTuple):
     """A fault with the exchanges it strikes."""
 
     fault: FaultForm
-    members: frozenset[int]
+    targets: frozenset[int]
 
-    def on(self, now: float) -> bool:
+    def is_active(self, now: float) -> bool:
         return self.fault.at <= now < self.fault.at + self.fault.lasts
 
 
@@ -45,17 +45,17 @@
         self.day, self.seed = day, seed
         draw = random.Random(f"{day.name} {seed}")
         count = day.exchanges
-        self.strikes: list[Strike] = []
+        self.scheduled_faults: list[ScheduledFault] = []
         for fault in day.fault:
             many = max(1, round(fault.share * count))
-            self.strikes.append(Strike(fault, frozenset(draw.sample(range(count), min(many, count)))))
+            self.scheduled_faults.append(ScheduledFault(fault, frozenset(draw.sample(range(count), min(many, count)))))
         self.sizes = self._sizes(draw)
         self.weights = [[0.0 if a == b else 1 + day.skew * (2 * draw.random() - 1) for b in range(count)] for a in range(count)]
         self.tcp = {number for number in range(count) if draw.random() < day.exchange_tcp}
         if day.exchange_tcp > 0 and not self.tcp:
             self.tcp = {count - 1}
         self.machine_runs: list[MachineRun] = [MachineRun(f"x{n}", n, 0, LONG_AGO, NEVER, NEVER, False) for n in range(count)]
-        for strike in sorted(self.strikes, key=lambda entry: entry.fault.at):
+        for strike in sorted(self.scheduled_faults, key=lambda entry: entry.fault.at):
             self._strike_lives(strike)
 
     def _sizes(self, draw: random.Random) -> dict[tuple[int, int], int]:
@@ -67,18 +67,18 @@
             sizes[pair] = 0
         return sizes
 
-    def _strike_lives(self, strike: Strike) -> None:
+    def _strike_lives(self, strike: ScheduledFault) -> None:
         fault = strike.fault
         if fault.kind == "rolling":
-            batches = -(-len(strike.members) // fault.batch)
-            for place, number in enumerate(sorted(strike.members)):
+            batches = -(-len(strike.targets) // fault.batch)
+            for place, number in enumerate(sorted(strike.targets)):
                 when = fault.at + (place // fault.batch) * fault.lasts / batches
                 self._replace(number, when)
         elif fault.kind in ("vanish", "mass-restart", "kill-exchange"):
-            for number in sorted(strike.members):
+            for number in sorted(strike.targets):
                 self._restart(number, fault.at, fault.at + fault.lasts)
         elif fault.kind == "ageing":
-            for number in sorted(strike.members):
+            for number in sorted(strike.targets):
                 self._restart(number, fault.at + fault.lasts, fault.at + fault.lasts + BACK)
 
     def _alive(self, number: int, when: float) -> int | None:
@@ -108,25 +108,27 @@
     def struck(self, kind: str, number: int, now: float) -> list[FaultForm]:
         """Faults of a kind that strike an exchange now."""
         return [
-            strike.fault for strike in self.strikes if strike.fault.kind == kind and number in strike.members and strike.on(now)
+            strike.fault
+            for strike in self.scheduled_faults
+            if strike.fault.kind == kind and number in strike.targets and strike.is_active(now)
         ]
 
     def anywhere(self, kind: str, now: float) -> list[FaultForm]:
-        return [strike.fault for strike in self.strikes if strike.fault.kind == kind and strike.on(now)]
+        return [strike.fault for strike in self.scheduled_faults if strike.fault.kind == kind and strike.is_active(now)]
 
     def size(self, a: int, b: int, now: float) -> int:
         """Circuits of the group between two exchanges; lost ones are back when the fault is over."""
         size = self.sizes[min(a, b), max(a, b)]
-        for strike in self.strikes:
-            if strike.fault.kind == "groups-shrink" and strike.on(now) and strike.members & {a, b}:
+        for strike in self.scheduled_faults:
+            if strike.fault.kind == "groups-shrink" and strike.is_active(now) and strike.targets & {a, b}:
                 size = int(size / strike.fault.factor)
         return size
 
     def cut_off(self, a: int, b: int, now: float) -> bool:
         """Whether nothing passes between two exchanges: one is in a district that is cut off."""
         return any(
-            strike.fault.kind == "district-cut" and strike.on(now) and (a in strike.members) != (b in strike.members)
-            for strike in self.strikes
+            strike.fault.kind == "district-cut" and strike.is_active(now) and (a in strike.targets) != (b in strike.targets)
+            for strike in self.scheduled_faults
         )
 
     def speed(self, life: MachineRun, now: float) -> float:
--- a/gingergap/standins/exchange.py
+++ b/gingergap/standins/exchange.py
@@ -576,7 +576,7 @@
         now = time.monotonic() - epoch
         if life.number == number and life.stops_at > now:
             gevent.spawn_later(max(0.0, life.starts_at - now), live, life)
-    for strike in plan.strikes:
+    for strike in plan.scheduled_faults:
         if strike.fault.kind == "cut":
             wait = epoch + strike.fault.at - time.monotonic()
             if wait > 0:
--- a/gingergap/standins/player.py
+++ b/gingergap/standins/player.py
@@ -133,8 +133,10 @@
         """Whether a fault parts two proxies now; calls between their exchanges are not touched."""
         now = time.monotonic() - self.epoch
         return any(
-            strike.fault.kind == "split-proxies" and strike.on(now) and (source in strike.members) != (target in strike.members)
-            for strike in self.plan.strikes
+            strike.fault.kind == "split-proxies"
+            and strike.is_active(now)
+            and (source in strike.targets) != (target in strike.targets)
+            for strike in self.plan.scheduled_faults
         )
 
     def _notes(self, capture: Capture) -> None:
@@ -261,11 +263,11 @@
         """Kill and restart by script, until the day is over."""
         acts: list[tuple[float, str, str]] = []
         paused: dict[str, float] = {}
-        for strike in self.plan.strikes:
+        for strike in self.plan.scheduled_faults:
             kind = {"kill-proxy": "edge", "kill-exchange": "exchange", "pause-proxy": "edge"}.get(strike.fault.kind)
             if kind is not None:
                 pauses = strike.fault.kind == "pause-proxy"
-                for number in sorted(strike.members):
+                for number in sorted(strike.targets):
                     acts.append((strike.fault.at, "pause" if pauses else "kill", f"{kind}-{number}"))
                     acts.append((strike.fault.at + strike.fault.lasts, "wake" if pauses else "start", f"{kind}-{number}"))
         for at, act, name in sorted(acts):
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -136,7 +136,7 @@
         ),
         3,
     )
-    (member,) = plan.strikes[0].members
+    (member,) = plan.scheduled_faults[0].targets
     others = [number for number in range(3) if number != member]
     assert plan.cut_off(member, others[0], 1.5) and not plan.cut_off(others[0], others[1], 1.5)
     assert not plan.cut_off(member, others[0], 3.5)
