--- a/gingergap/emulator/day.py
+++ b/gingergap/emulator/day.py
@@ -105,7 +105,7 @@
         self.end = round(form.seconds * SECOND)
         self.chance = {name: Stream(seed, name) for name in ("lines busy", "network", "habits", "holding", "patience", "cuts")}
         self.arrivals = [Stream(seed, f"arrivals {number}") for number in range(form.exchanges)]
-        self.ways = [list(accumulate(weights)) for weights in self.plan.weights]
+        self.ways = [list(accumulate(weights)) for weights in self.plan.destination_weights]
         self.lossy = [strike for strike in self.plan.scheduled_faults if strike.fault.kind in ("loss", "delay", "answers-lost")]
         self.cuts_off = any(strike.fault.kind == "district-cut" for strike in self.plan.scheduled_faults)
         self.standing: dict[int, tuple[Caller, Proxy, Leg]] = {}
@@ -170,7 +170,7 @@
                 self.engine.at(round(life.starts_at * SECOND), self._born, life)
             if life.stops_at < NEVER:
                 self.engine.at(round(life.stops_at * SECOND), self._dies, life)
-        for when, name, number, state, started in self.plan.list_news():
+        for when, name, number, state, started in self.plan.list_updates():
             self.engine.at(
                 round(when * SECOND), self._news, name, number, STATES[state], max(1, round(started * SECOND)) if started > 0 else 0
             )
@@ -288,7 +288,7 @@
     # --- callers ---
 
     def _next_arrival(self, home: int) -> None:
-        rate = self.plan.rate(home, max(0.0, self.engine.now / SECOND))
+        rate = self.plan.call_rate(home, max(0.0, self.engine.now / SECOND))
         when = self.engine.now + self.arrivals[home].exponential() / rate * SECOND
         if when < self.end:
             self.engine.at(round(when), self._arrival, home)
@@ -587,7 +587,7 @@
 
     def say(self, proxy: Proxy, told: bytes) -> None:
         now = self.engine.now / SECOND
-        lost = self.plan.anywhere("messages-lost", now)
+        lost = self.plan.active_faults("messages-lost", now)
         for other in self.proxies:
             if other is proxy or self._parted(proxy.here, other.here):
                 continue
@@ -604,7 +604,7 @@
         self.engine.after(HOP, self._if_running, proxy, proxy.trunk_group_reported, number, free, size)
 
     def _parted(self, a: int, b: int) -> bool:
-        return self.cuts_off and self.plan.cut_off(a, b, self.engine.now / SECOND)
+        return self.cuts_off and self.plan.is_cut_off(a, b, self.engine.now / SECOND)
 
     def _resent(self, answers_from: int = -1) -> int:
         """How much later a message comes for being lost and sent again, and for a slow network."""
--- a/gingergap/emulator/groups.py
+++ b/gingergap/emulator/groups.py
@@ -21,8 +21,8 @@
 
     def size(self, a: int, b: int) -> int:
         if self.varies:
-            return self.plan.size(a, b, self.engine.now / SECOND)
-        return self.plan.sizes[(a, b) if a < b else (b, a)]
+            return self.plan.group_size(a, b, self.engine.now / SECOND)
+        return self.plan.group_sizes[(a, b) if a < b else (b, a)]
 
     def free(self, a: int, b: int) -> int:
         return self.size(a, b) - self.held.get((a, b) if a < b else (b, a), 0)
--- a/gingergap/emulator/machines.py
+++ b/gingergap/emulator/machines.py
@@ -59,7 +59,7 @@
         if at >= self.warm_at and not self.unsteady:
             return at + left
         while left > 1e-9:
-            speed = self.plan.speed(self.life, at)
+            speed = self.plan.processor_speed(self.life, at)
             if speed <= 0:
                 at += 0.02
                 continue
@@ -70,7 +70,7 @@
 
     def arrived(self, now: int) -> bool:
         """A set-up reached the machine: cold ones weigh; whether it has just fallen over, for good."""
-        if self.fallen or not self.plan.pushed_over(self.life, self.arrivals, now / SECOND):
+        if self.fallen or not self.plan.add_arrival(self.life, self.arrivals, now / SECOND):
             return False
         self.fallen = True
         return True
--- a/gingergap/standins/caller.py
+++ b/gingergap/standins/caller.py
@@ -77,12 +77,12 @@
         types = self.plan.day.traffic_type
         at = 0.0
         while True:
-            rate = self.plan.rate(self.home, at)
+            rate = self.plan.call_rate(self.home, at)
             at += self.draw.expovariate(rate)
             if at >= until:
                 return
             kind = self.draw.choices(types, [entry.share for entry in types])[0]
-            far = self.draw.choices(range(self.plan.day.exchanges), self.plan.weights[self.home])[0]
+            far = self.draw.choices(range(self.plan.day.exchanges), self.plan.destination_weights[self.home])[0]
             seed = self.draw.getrandbits(48)
             gevent.sleep(max(0.0, self.epoch + at - time.monotonic()))
             gevent.spawn(self._dialog, kind, far, random.Random(seed))
--- a/gingergap/standins/capture.py
+++ b/gingergap/standins/capture.py
@@ -88,16 +88,16 @@
         if hop.transport != "UDP" or (hop.host, hop.port) not in self.proxies:
             return [0.0]
         now, draw = self.clock(), self.draw
-        for fault in self.plan.anywhere("loss", now):
+        for fault in self.plan.active_faults("loss", now):
             if draw.random() < fault.factor:
                 return []
         times = [0.0]
-        for fault in self.plan.anywhere("delay", now):
+        for fault in self.plan.active_faults("delay", now):
             times = [fault.ms / 1000]
-        for fault in self.plan.anywhere("reordering", now):
+        for fault in self.plan.active_faults("reordering", now):
             if draw.random() < fault.factor:
                 times = [draw.random() * fault.ms / 1000]
-        for fault in self.plan.anywhere("duplication", now):
+        for fault in self.plan.active_faults("duplication", now):
             if draw.random() < fault.factor:
                 times = [*times, draw.random() * fault.ms / 1000]
         return times
--- a/gingergap/standins/day_plan.py
+++ b/gingergap/standins/day_plan.py
@@ -49,11 +49,13 @@
         for fault in day.fault:
             many = max(1, round(fault.share * count))
             self.scheduled_faults.append(ScheduledFault(fault, frozenset(draw.sample(range(count), min(many, count)))))
-        self.sizes = self._sizes(draw)
-        self.weights = [[0.0 if a == b else 1 + day.skew * (2 * draw.random() - 1) for b in range(count)] for a in range(count)]
-        self.tcp = {number for number in range(count) if draw.random() < day.exchange_tcp}
-        if day.exchange_tcp > 0 and not self.tcp:
-            self.tcp = {count - 1}
+        self.group_sizes = self._sizes(draw)
+        self.destination_weights = [
+            [0.0 if a == b else 1 + day.skew * (2 * draw.random() - 1) for b in range(count)] for a in range(count)
+        ]
+        self.tcp_exchanges = {number for number in range(count) if draw.random() < day.exchange_tcp}
+        if day.exchange_tcp > 0 and not self.tcp_exchanges:
+            self.tcp_exchanges = {count - 1}
         self.machine_runs: list[MachineRun] = [MachineRun(f"x{n}", n, 0, LONG_AGO, NEVER, NEVER, False) for n in range(count)]
         for strike in sorted(self.scheduled_faults, key=lambda entry: entry.fault.at):
             self._strike_lives(strike)
@@ -105,7 +107,7 @@
 
     # --- what holds at a moment ---
 
-    def struck(self, kind: str, number: int, now: float) -> list[FaultForm]:
+    def active_faults_on(self, kind: str, number: int, now: float) -> list[FaultForm]:
         """Faults of a kind that strike an exchange now."""
         return [
             strike.fault
@@ -113,25 +115,25 @@
             if strike.fault.kind == kind and number in strike.targets and strike.is_active(now)
         ]
 
-    def anywhere(self, kind: str, now: float) -> list[FaultForm]:
+    def active_faults(self, kind: str, now: float) -> list[FaultForm]:
         return [strike.fault for strike in self.scheduled_faults if strike.fault.kind == kind and strike.is_active(now)]
 
-    def size(self, a: int, b: int, now: float) -> int:
+    def group_size(self, a: int, b: int, now: float) -> int:
         """Circuits of the group between two exchanges; lost ones are back when the fault is over."""
-        size = self.sizes[min(a, b), max(a, b)]
+        size = self.group_sizes[min(a, b), max(a, b)]
         for strike in self.scheduled_faults:
             if strike.fault.kind == "groups-shrink" and strike.is_active(now) and strike.targets & {a, b}:
                 size = int(size / strike.fault.factor)
         return size
 
-    def cut_off(self, a: int, b: int, now: float) -> bool:
+    def is_cut_off(self, a: int, b: int, now: float) -> bool:
         """Whether nothing passes between two exchanges: one is in a district that is cut off."""
         return any(
             strike.fault.kind == "district-cut" and strike.is_active(now) and (a in strike.targets) != (b in strike.targets)
             for strike in self.scheduled_faults
         )
 
-    def speed(self, life: MachineRun, now: float) -> float:
+    def processor_speed(self, life: MachineRun, now: float) -> float:
         """What a processor can do as a part of what a warm and well one can; 0 while it stands still."""
         speed = 1.0
         age = now - life.starts_at
@@ -139,18 +141,18 @@
         warm = cold.warm_after_ms / 1000
         if age < warm:
             speed *= cold.from_share + (1 - cold.from_share) * max(0.0, age) / warm
-        for fault in self.struck("slow", life.number, now):
+        for fault in self.active_faults_on("slow", life.number, now):
             speed /= fault.factor
-        for fault in self.anywhere("all-slow", now):
+        for fault in self.active_faults("all-slow", now):
             speed /= fault.factor
-        for fault in self.struck("ageing", life.number, now):
+        for fault in self.active_faults_on("ageing", life.number, now):
             speed /= 1 + (fault.factor - 1) * (now - fault.at) / fault.lasts
-        for fault in self.struck("pauses", life.number, now):
+        for fault in self.active_faults_on("pauses", life.number, now):
             if (now - fault.at) % (fault.every_ms / 1000) < fault.ms / 1000:
                 speed = 0.0
         return speed
 
-    def pushed_over(self, life: MachineRun, arrivals: deque[float], now: float) -> bool:
+    def add_arrival(self, life: MachineRun, arrivals: deque[float], now: float) -> bool:
         """A set-up reaches a machine now, after those in `arrivals`, to which it is added: whether a cold one has had more
         of them over the agreed span than the agreed multiple of what it can."""
         cold = self.day.cold
@@ -161,23 +163,23 @@
         while arrivals[0] <= now - span:
             arrivals.popleft()
         age = max(0.0, now - span - life.starts_at)
-        can = self.capacity() * (cold.from_share + (1 - cold.from_share) * age / warm)
+        can = self.setup_capacity() * (cold.from_share + (1 - cold.from_share) * age / warm)
         return len(arrivals) > cold.multiple * can * span
 
-    def rate(self, number: int, now: float) -> float:
+    def call_rate(self, number: int, now: float) -> float:
         """First tries a second at an exchange."""
         rate = self.day.rate
-        for fault in self.anywhere("burst", now):
+        for fault in self.active_faults("burst", now):
             rate *= fault.factor
-        for fault in self.struck("flood", number, now):
+        for fault in self.active_faults_on("flood", number, now):
             rate *= fault.factor
         return rate
 
-    def capacity(self) -> float:
+    def setup_capacity(self) -> float:
         """Set-ups a second of a warm and well processor."""
         return 1000 / (self.day.processor.setup_ms + self.day.processor.release_ms)
 
-    def list_news(self) -> list[tuple[float, str, int, str, float]]:
+    def list_updates(self) -> list[tuple[float, str, int, str, float]]:
         """(when told, id, number, state, start) in order of telling; starts long ago are 0."""
         told = self.day.list_
         news = []
@@ -205,4 +207,4 @@
         return kept
 
     def _late(self, when: float, ms: float) -> float:
-        return (ms + sum(fault.ms for fault in self.anywhere("stale-list", when))) / 1000
+        return (ms + sum(fault.ms for fault in self.active_faults("stale-list", when))) / 1000
--- a/gingergap/standins/exchange.py
+++ b/gingergap/standins/exchange.py
@@ -110,7 +110,7 @@
             number=self.life.number,
             address=f"{self.address[0]}:{self.address[1]}",
             cold=cold,
-            capacity=self.plan.capacity(),
+            capacity=self.plan.setup_capacity(),
             from_share=self.plan.day.cold.from_share,
             warm_after=warm,
         )
@@ -156,7 +156,7 @@
 
     def _drop_connections(self) -> None:
         now = self.now()
-        for fault in self.plan.struck("resets", self.life.number, now):
+        for fault in self.plan.active_faults_on("resets", self.life.number, now):
             if now >= self.reset_at:
                 self.reset_at = now + fault.every_ms / 1000 * (0.5 + self.draw.random())
                 self.capture.note("reset", address=f"{self.address[0]}:{self.address[1]}")
@@ -167,7 +167,7 @@
         lines: dict[object, dict[str, object]] = {}
         for number in range(self.plan.day.exchanges):
             if number != here:
-                size = self.plan.size(here, number, now)
+                size = self.plan.group_size(here, number, now)
                 free = max(0, size - self.shared.held(here, number))
                 lines[number] = {"number": number, "free": free, "size": size}
         return lines
@@ -183,7 +183,7 @@
         for number in range(self.plan.day.exchanges):
             if number == here:
                 continue
-            over = self.shared.held(here, number) - self.plan.size(here, number, self.now())
+            over = self.shared.held(here, number) - self.plan.group_size(here, number, self.now())
             for key, held in list(self.held.items()):
                 if over <= 0:
                     break
@@ -207,7 +207,7 @@
             cost, job = self.queue[0]
             left = cost
             while left > 0:
-                speed = 0.0 if self.fallen else self.plan.speed(self.life, self.now())
+                speed = 0.0 if self.fallen else self.plan.processor_speed(self.life, self.now())
                 step = min(left / speed, 0.05) if speed > 0 else 0.02
                 before = time.monotonic()
                 gevent.sleep(step)
@@ -223,19 +223,19 @@
 
     def _wait(self) -> float:
         """Seconds until something put now would be begun."""
-        speed = self.plan.speed(self.life, self.now())
+        speed = self.plan.processor_speed(self.life, self.now())
         return self.queued / speed if speed > 0 else self.queued + 0.1
 
     def _arrived(self) -> None:
         """Set-ups that reach a cold machine weigh; too many for too long and it is down for good."""
-        if self.plan.pushed_over(self.life, self.arrivals, self.now()) and not self.fallen:
+        if self.plan.add_arrival(self.life, self.arrivals, self.now()) and not self.fallen:
             self.fallen = True
             self.capture.note("fell over", exchange=self.life.id, number=self.life.number)
 
     # --- messages ---
 
     def _silent(self) -> bool:
-        return self.fallen or bool(self.plan.struck("silence", self.life.number, self.now()))
+        return self.fallen or bool(self.plan.active_faults_on("silence", self.life.number, self.now()))
 
     def _other_end(self, data: bytes, hop: Hop) -> int | None:
         return self.homes.get((hop.host, hop.port))
@@ -245,10 +245,10 @@
         if self._silent():
             return True
         other = self._other_end(data, hop)
-        if other is not None and self.plan.cut_off(other, self.life.number, now):
+        if other is not None and self.plan.is_cut_off(other, self.life.number, now):
             return True
         if data.startswith(b"MESSAGE"):
-            return any(self.draw.random() < fault.factor for fault in self.plan.anywhere("messages-lost", now))
+            return any(self.draw.random() < fault.factor for fault in self.plan.active_faults("messages-lost", now))
         return False
 
     def _lost_out(self, data: bytes, hop: Hop) -> bool:
@@ -257,10 +257,12 @@
             return True
         other = self._other_end(data, hop)
         if other is not None and other != self.life.number:
-            if self.plan.cut_off(other, self.life.number, now):
+            if self.plan.is_cut_off(other, self.life.number, now):
                 return True
             if data.startswith(b"SIP/2.0") and b" INVITE\r\n" in data:
-                return any(self.draw.random() < fault.factor for fault in self.plan.struck("answers-lost", self.life.number, now))
+                return any(
+                    self.draw.random() < fault.factor for fault in self.plan.active_faults_on("answers-lost", self.life.number, now)
+                )
         return False
 
     def take(self, message: Message, hop: Hop) -> None:
@@ -401,7 +403,7 @@
             self._put(processor.refuse_ms, lambda: None)
             refuse(503, "full", [q850(42)])
             return False
-        if self.shared.held(here, source) + width > self.plan.size(here, source, self.now()):
+        if self.shared.held(here, source) + width > self.plan.group_size(here, source, self.now()):
             self._put(processor.refuse_ms, lambda: None)
             refuse(503, "none", [q850(34)])
             return False
--- a/gingergap/standins/exchange_list.py
+++ b/gingergap/standins/exchange_list.py
@@ -37,7 +37,7 @@
         self.slots = {life.id: life.address_index for life in plan.machine_runs}
 
     def _lost(self, data: bytes, hop: Hop) -> bool:
-        return bool(self.plan.anywhere("list-silent", self.now()))
+        return bool(self.plan.active_faults("list-silent", self.now()))
 
     def _line(self, name: str, number: int, state: str, started: float) -> dict[str, object]:
         wall = 0.0 if started <= 0 else self.epoch + started - time.monotonic() + time.time()
@@ -47,7 +47,7 @@
             "state": state,
             "started": round(wall, 3),
             "address": self.addresses[number][self.slots[name]],
-            "transport": "TCP" if number in self.plan.tcp else "UDP",
+            "transport": "TCP" if number in self.plan.tcp_exchanges else "UDP",
         }
 
     def run(self) -> None:
@@ -56,7 +56,7 @@
             life.id: self._line(life.id, life.number, "ready", 0.0) for life in self.plan.machine_runs if life.starts_at == LONG_AGO
         }
         gevent.spawn(self.tick)
-        for when, name, number, state, started in self.plan.list_news():
+        for when, name, number, state, started in self.plan.list_updates():
             gevent.sleep(max(0.0, self.epoch + when - time.monotonic()))
             self.notifier.changed(units(), {name: self._line(name, number, state, started)})
 
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -107,8 +107,13 @@
 def test_a_day_is_drawn_alike_by_every_process():
     day = day_of("(fault (kind vanish) (at 2) (lasts 1) (share 0.4)) (fault (kind rolling) (at 4) (lasts 2) (share 1))")
     one, two, other = DayPlan(day, 1), DayPlan(day, 1), DayPlan(day, 2)
-    assert (one.lives, one.sizes, one.weights, one.tcp) == (two.lives, two.sizes, two.weights, two.tcp)
-    assert one.sizes != other.sizes
+    assert (one.machine_runs, one.group_sizes, one.destination_weights, one.tcp_exchanges) == (
+        two.machine_runs,
+        two.group_sizes,
+        two.destination_weights,
+        two.tcp_exchanges,
+    )
+    assert one.group_sizes != other.group_sizes
 
 
 def test_machines_are_replaced_and_come_back_cold():
@@ -120,11 +125,11 @@
     assert back.id == gone[0].id
     drained = [life for life in plan.machine_runs if life.drains_at < NEVER]
     assert len(drained) == 3 and all(life.stops_at > life.drains_at and life.orderly_stop for life in drained)
-    news = plan.list_news()
+    news = plan.list_updates()
     assert [when for when, *_ in news] == sorted(when for when, *_ in news)
     fresh = next(life for life in plan.machine_runs if life.starts_at > LONG_AGO)
-    assert plan.speed(fresh, fresh.starts_at) == pytest.approx(day.cold.from_share)
-    assert plan.speed(fresh, fresh.starts_at + 100) == pytest.approx(1)
+    assert plan.processor_speed(fresh, fresh.starts_at) == pytest.approx(day.cold.from_share)
+    assert plan.processor_speed(fresh, fresh.starts_at + 100) == pytest.approx(1)
 
 
 def test_faults_strike_when_and_whom_the_script_says():
@@ -138,10 +143,10 @@
     )
     (member,) = plan.scheduled_faults[0].targets
     others = [number for number in range(3) if number != member]
-    assert plan.cut_off(member, others[0], 1.5) and not plan.cut_off(others[0], others[1], 1.5)
-    assert not plan.cut_off(member, others[0], 3.5)
-    assert plan.size(0, 1, 5.5) == plan.size(0, 1, 4) // 2
-    assert plan.speed(plan.machine_runs[0], 7.2) == 0 and plan.speed(plan.machine_runs[0], 7.7) == 1
+    assert plan.is_cut_off(member, others[0], 1.5) and not plan.is_cut_off(others[0], others[1], 1.5)
+    assert not plan.is_cut_off(member, others[0], 3.5)
+    assert plan.group_size(0, 1, 5.5) == plan.group_size(0, 1, 4) // 2
+    assert plan.processor_speed(plan.machine_runs[0], 7.2) == 0 and plan.processor_speed(plan.machine_runs[0], 7.7) == 1
 
 
 FAULTS = """
