--- a/gingergap/emulator/day.py
+++ b/gingergap/emulator/day.py
@@ -12,7 +12,7 @@
 from ..call_controller import CallController
 from ..host import GwState, LegEnd, Rsn, TrafficType
 from ..settings.day import DayForm
-from ..standins.day_plan import LONG_AGO, NEVER, DayPlan
+from ..standins.day_plan import BEFORE_DAY, NEVER, DayPlan
 from .engine import SECOND, Engine
 from .groups import Groups
 from .machines import Machine
@@ -120,7 +120,7 @@
         exchanges = form.exchanges
         first = []
         for life in self.plan.machine_runs:
-            if life.starts_at == LONG_AGO:
+            if life.starts_at == BEFORE_DAY:
                 self._born(life)
                 first.append((life.id, life.number))
         self.proxies = [
@@ -166,7 +166,7 @@
 
     def _script(self) -> None:
         for life in self.plan.machine_runs:
-            if life.starts_at > LONG_AGO:
+            if life.starts_at > BEFORE_DAY:
                 self.engine.at(round(life.starts_at * SECOND), self._born, life)
             if life.stops_at < NEVER:
                 self.engine.at(round(life.stops_at * SECOND), self._dies, life)
@@ -193,7 +193,7 @@
     def _born(self, life: Any) -> None:
         machine = self.machines[life.id] = Machine(self.plan, life)
         self.by_number[life.number] = machine
-        if life.starts_at > LONG_AGO:
+        if life.starts_at > BEFORE_DAY:
             self.rules.cold()
 
     def _dies(self, life: Any) -> None:
@@ -245,7 +245,7 @@
                     else GwState.READY
                 )
                 lines.append(
-                    (life.id, life.number, state, max(1, round(life.starts_at * SECOND)) if life.starts_at > LONG_AGO else 0)
+                    (life.id, life.number, state, max(1, round(life.starts_at * SECOND)) if life.starts_at > BEFORE_DAY else 0)
                 )
         self.engine.after(2 * HOP, self._if_running, proxy, proxy.listed, lines)
         for other in range(self.form.exchanges):
--- a/gingergap/emulator/machines.py
+++ b/gingergap/emulator/machines.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from ..standins.day_plan import LONG_AGO, DayPlan, MachineRun
+from ..standins.day_plan import BEFORE_DAY, DayPlan, MachineRun
 from .engine import SECOND
 
 STEP = 0.05  # seconds for which a changing speed counts as steady
@@ -18,7 +18,7 @@
         self.fallen = False
         self.arrivals: deque[float] = deque()
         cold = plan.day.cold
-        self.warm_at = life.starts_at + cold.warm_after_ms / 1000 if life.starts_at > LONG_AGO else LONG_AGO
+        self.warm_at = life.starts_at + cold.warm_after_ms / 1000 if life.starts_at > BEFORE_DAY else BEFORE_DAY
         self.unsteady = [
             (strike.fault.at, strike.fault.at + strike.fault.lasts)
             for strike in plan.scheduled_faults
--- a/gingergap/standins/day_plan.py
+++ b/gingergap/standins/day_plan.py
@@ -8,7 +8,7 @@
 
 from ..settings.day import DayForm, FaultForm
 
-LONG_AGO = -1e9
+BEFORE_DAY = -1e9
 DRAIN = 3.0  # seconds from the word that a machine drains to its stop
 BACK = 2.0  # seconds that a machine which died of age takes to start
 
@@ -56,7 +56,7 @@
         self.tcp_exchanges = {number for number in range(count) if draw.random() < day.exchange_tcp}
         if day.exchange_tcp > 0 and not self.tcp_exchanges:
             self.tcp_exchanges = {count - 1}
-        self.machine_runs: list[MachineRun] = [MachineRun(f"x{n}", n, 0, LONG_AGO, NEVER, NEVER, False) for n in range(count)]
+        self.machine_runs: list[MachineRun] = [MachineRun(f"x{n}", n, 0, BEFORE_DAY, NEVER, NEVER, False) for n in range(count)]
         for strike in sorted(self.scheduled_faults, key=lambda entry: entry.fault.at):
             self._strike_lives(strike)
 
@@ -157,7 +157,7 @@
         of them over the agreed span than the agreed multiple of what it can."""
         cold = self.day.cold
         warm, span = cold.warm_after_ms / 1000, cold.span_ms / 1000
-        if life.starts_at == LONG_AGO or now - life.starts_at > warm:
+        if life.starts_at == BEFORE_DAY or now - life.starts_at > warm:
             return False
         arrivals.append(now)
         while arrivals[0] <= now - span:
@@ -184,11 +184,11 @@
         told = self.day.list_
         news = []
         for life in self.machine_runs:
-            if life.starts_at > LONG_AGO:
+            if life.starts_at > BEFORE_DAY:
                 news.append(
                     (life.starts_at + self._late(life.starts_at, told.add_ms), life.id, life.number, "ready", life.starts_at)
                 )
-            start = life.starts_at if life.starts_at > LONG_AGO else 0.0
+            start = life.starts_at if life.starts_at > BEFORE_DAY else 0.0
             if life.drains_at < NEVER:
                 news.append(
                     (life.drains_at + self._late(life.drains_at, told.notice_ms / 4), life.id, life.number, "draining", start)
--- a/gingergap/standins/exchange.py
+++ b/gingergap/standins/exchange.py
@@ -23,7 +23,7 @@
 from ..sip.transactions import MAGIC, Client, Hop, Lost, Server, stamp_via
 from .capture import Capture, HarmfulGate
 from .circuits import SharedCircuits
-from .day_plan import LONG_AGO, NEVER, DayPlan, MachineRun
+from .day_plan import BEFORE_DAY, NEVER, DayPlan, MachineRun
 from .element import Element, units
 from .notifier import Notifier
 
@@ -100,7 +100,7 @@
                 break
             except OSError:
                 gevent.sleep(0.02)  # the machine before has not let go of the port yet
-        cold = self.life.starts_at > LONG_AGO
+        cold = self.life.starts_at > BEFORE_DAY
         now = self.epoch + self.now()
         warm = self.plan.day.cold.warm_after_ms / 1000
         self.capture.note(
--- a/gingergap/standins/exchange_list.py
+++ b/gingergap/standins/exchange_list.py
@@ -10,7 +10,7 @@
 from ..sip.message import Message, response
 from ..sip.transactions import Client, Hop, Lost, Server
 from .capture import Capture, HarmfulGate
-from .day_plan import LONG_AGO, DayPlan
+from .day_plan import BEFORE_DAY, DayPlan
 from .element import Element, units
 from .notifier import Notifier
 
@@ -53,7 +53,9 @@
     def run(self) -> None:
         self.sockets.open()
         self.notifier.lines = {
-            life.id: self._line(life.id, life.number, "ready", 0.0) for life in self.plan.machine_runs if life.starts_at == LONG_AGO
+            life.id: self._line(life.id, life.number, "ready", 0.0)
+            for life in self.plan.machine_runs
+            if life.starts_at == BEFORE_DAY
         }
         gevent.spawn(self.tick)
         for when, name, number, state, started in self.plan.list_updates():
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -14,7 +14,7 @@
 from gingergap.settings.day import DayForm
 from gingergap.settings.edge import EdgeForm
 from gingergap.settings.forms import BadSettingsError, parse
-from gingergap.standins.day_plan import LONG_AGO, NEVER, DayPlan
+from gingergap.standins.day_plan import BEFORE_DAY, NEVER, DayPlan
 from gingergap.standins.player import form, free_ports
 
 DAY = """
@@ -127,7 +127,7 @@
     assert len(drained) == 3 and all(life.stops_at > life.drains_at and life.orderly_stop for life in drained)
     news = plan.list_updates()
     assert [when for when, *_ in news] == sorted(when for when, *_ in news)
-    fresh = next(life for life in plan.machine_runs if life.starts_at > LONG_AGO)
+    fresh = next(life for life in plan.machine_runs if life.starts_at > BEFORE_DAY)
     assert plan.processor_speed(fresh, fresh.starts_at) == pytest.approx(day.cold.from_share)
     assert plan.processor_speed(fresh, fresh.starts_at + 100) == pytest.approx(1)
 
