--- a/benchmarks/calls.py
+++ b/benchmarks/calls.py
@@ -24,7 +24,7 @@
 
 import psutil
 
-from gingergap.standins.player import form, free_ports
+from gingergap.standins.player import format_settings, free_ports
 
 HOST = "127.0.0.1"
 BODY = b"v=0\r\no=- 1 1 IN IP4 127.0.0.1\r\ns=-\r\nc=IN IP4 127.0.0.1\r\nt=0 0\r\nm=audio 40000 RTP/AVP 8\r\n"
@@ -229,7 +229,7 @@
 def edge(folder, port, exchange_port, far, profile=None, t1=500, name="bench", **more):
     path = folder / f"{name}-{far}.sexp"
     path.write_text(
-        form(
+        format_settings(
             "edge",
             name=name,
             listen=f"{HOST}:{port}",
--- a/benchmarks/causes.py
+++ b/benchmarks/causes.py
@@ -18,7 +18,7 @@
 from gingergap.settings.day import DayForm
 from gingergap.settings.forms import read
 from gingergap.standins.day_plan import DayPlan
-from gingergap.standins.player import form
+from gingergap.standins.player import format_settings
 from gingergap.trace.causes import bad_stretches
 from gingergap.trace.stream import opened
 from gingergap.trace.tally import Tally
@@ -100,7 +100,7 @@
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / "day.sexp"
     path.write_text(
-        form(
+        format_settings(
             "day",
             name=f"{kind} {seed}".replace(" ", "-"),
             seconds=19,
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -26,7 +26,7 @@
 from gingergap.settings.forms import parse
 from gingergap.sip.message import parse as parse_sip
 from gingergap.sip.transactions import Hop
-from gingergap.standins.player import form, free_ports
+from gingergap.standins.player import format_settings, free_ports
 from gingergap.store.proxy_state import ListedExchange, StateRecorder, restore_state
 from gingergap.store.record_store import RecordStore
 from gingergap.store.records import (
@@ -117,7 +117,7 @@
 
 def settings_of(exchanges):
     return parse(
-        form(
+        format_settings(
             "edge",
             name="p",
             listen="127.0.0.1:9",
--- a/gingergap/cli/main.py
+++ b/gingergap/cli/main.py
@@ -207,11 +207,11 @@
     from ..settings.day import DayForm
     from ..settings.forms import parse
     from ..standins.from_bench import BadDayFileError, scripted
-    from ..standins.player import form
+    from ..standins.player import format_settings
 
     try:
         parts, left = scripted(msgspec.json.decode(file.read_bytes()), seconds)
-        text = form("day", **parts)
+        text = format_settings("day", **parts)
         parse(text, "the scripted day", day=DayForm)
     except OSError as error:
         _fail([f"{file}: {error.strerror}"])
@@ -425,7 +425,7 @@
     Exit 0, 1 where a rule was broken."""
     from ..experiments.search import BROKEN, searched, shrunk
     from ..settings.day import DayForm
-    from ..standins.player import form as written
+    from ..standins.player import format_settings
     from .tables import rows
 
     day = _read(file, day=DayForm)
@@ -445,7 +445,7 @@
     least = shrunk(found[0], 0.8)
     values = least.day.model_copy(update={"seed": least.seed}).model_dump(by_alias=False)  # its name is part of its draws
     try:
-        out.write_text(written("day", **values) + "\n")
+        out.write_text(format_settings("day", **values) + "\n")
     except OSError as error:
         _fail([f"{out}: {error.strerror}"])
     click.echo(
--- a/gingergap/standins/player.py
+++ b/gingergap/standins/player.py
@@ -54,7 +54,7 @@
     return host, int(port)
 
 
-def form(name: str, /, **parts: Any) -> str:
+def format_settings(name: str, /, **parts: Any) -> str:
     """An S-expression settings text. A dict value is a form within, a list of them several."""
     return sexpdata.dumps(_sexp(name, parts))
 
@@ -161,7 +161,7 @@
 
     def _standin(self, name: str, number: int, places: dict[str, Any]) -> None:
         (self.folder / name).write_text(
-            form(
+            format_settings(
                 "standin",
                 day=str(self.path),
                 number=number,
@@ -194,7 +194,7 @@
                 ],
             }
         (self.folder / f"edge-{number}.sexp").write_text(
-            form(
+            format_settings(
                 "edge",
                 name=f"p{number}",
                 listen=self.proxies[number],
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -15,7 +15,7 @@
 from gingergap.control.client import NoAnswerError, ask
 from gingergap.settings.edge import EdgeForm
 from gingergap.settings.forms import BadSettingsError, parse
-from gingergap.standins.player import form, free_ports
+from gingergap.standins.player import format_settings, free_ports
 
 DAY = """
 (day (name "duties") (seconds 17) (exchanges 5) (rate 2) (coordination true)
@@ -56,7 +56,7 @@
         path = tmp_path / f"edge-{number}.sexp"
         paths.append(str(tmp_path / f"{number}.sock"))
         path.write_text(
-            form(
+            format_settings(
                 "edge",
                 name=f"p{number}",
                 listen=addresses[number],
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -15,7 +15,7 @@
 from gingergap.settings.edge import EdgeForm
 from gingergap.settings.forms import BadSettingsError, parse
 from gingergap.standins.day_plan import BEFORE_DAY, NEVER, DayPlan
-from gingergap.standins.player import form, free_ports
+from gingergap.standins.player import format_settings, free_ports
 
 DAY = """
 (day (name "short") (seconds %s) (exchanges 3) (rate 8)
@@ -69,7 +69,7 @@
 
 
 def test_settings_written_are_settings_read(tmp_path):
-    text = form(
+    text = format_settings(
         "edge",
         name="p",
         listen="127.0.0.1:1",
@@ -187,7 +187,7 @@
     port, exchange = free_ports(2)
     path = tmp_path / "edge.sexp"
     path.write_text(
-        form(
+        format_settings(
             "edge",
             name="p",
             listen=f"127.0.0.1:{port}",
@@ -233,7 +233,7 @@
         taken.listen()
         path = tmp_path / "edge.sexp"
         path.write_text(
-            form(
+            format_settings(
                 "edge",
                 name="p",
                 listen=f"127.0.0.1:{taken.getsockname()[1]}",
--- a/tests/test_edge_process.py
+++ b/tests/test_edge_process.py
@@ -10,7 +10,7 @@
 from click.testing import CliRunner
 
 from gingergap.cli.main import main
-from gingergap.standins.player import form, free_ports
+from gingergap.standins.player import format_settings, free_ports
 from gingergap.trace.format import CODES, SNAPSHOT
 from gingergap.trace.stream import opened
 
@@ -29,7 +29,7 @@
     def start(self):
         path = self.folder / "edge.sexp"
         path.write_text(
-            form(
+            format_settings(
                 "edge",
                 name="p0",
                 listen=f"127.0.0.1:{self.port}",
--- a/tests/test_from_bench.py
+++ b/tests/test_from_bench.py
@@ -9,7 +9,7 @@
 from gingergap.settings.day import DayForm
 from gingergap.settings.forms import parse
 from gingergap.standins.from_bench import BadDayFileError, scripted
-from gingergap.standins.player import form
+from gingergap.standins.player import format_settings
 
 KINDS = {
     "burst": "burst",
@@ -74,7 +74,7 @@
 
 
 def day_of(parts):
-    return parse(form("day", **parts), "day", day=DayForm)
+    return parse(format_settings("day", **parts), "day", day=DayForm)
 
 
 def test_every_kind_of_trouble_has_its_fault():
