--- a/gingergap/cli/main.py
+++ b/gingergap/cli/main.py
@@ -173,13 +173,13 @@
     import tempfile
 
     from ..settings.day import DayForm
-    from ..standins.player import DayFailedError, Player
+    from ..standins.player import DayFailedError, DayPlayer
 
     form = _read(file, day=DayForm)
     with tempfile.TemporaryDirectory(prefix="gingergap-day-") as scratch:
         folder = report if report is not None else Path(scratch)
         try:
-            Player(form, file, form.seed if seed is None else seed, folder, stores).play()
+            DayPlayer(form, file, form.seed if seed is None else seed, folder, stores).play()
         except DayFailedError as failed:
             _fail([f"{file}: {failed}"])
         except OSError as error:
--- a/gingergap/standins/player.py
+++ b/gingergap/standins/player.py
@@ -74,7 +74,7 @@
     return whole
 
 
-class Player:
+class DayPlayer:
     """One day in one folder."""
 
     def __init__(self, day: DayForm, path: Path, seed: int, folder: Path, stores: Path | None = None) -> None:
