--- a/gingergap/standins/disk.py
+++ b/gingergap/standins/simulated_disk.py
@@ -14,108 +14,108 @@
 SECTOR = 512
 
 
-class Op(NamedTuple):
+class DiskOperation(NamedTuple):
     """One thing done to a file: write (at, data), truncate (at), sync, delete; or a mark of the test's."""
 
-    what: str
-    name: str
-    at: int = 0
+    kind: str
+    file_name: str
+    offset: int = 0
     data: bytes = b""
 
 
-class NotedFile(apsw.VFSFile):
-    def __init__(self, base: str, name: Any, flags: Any, ops: list[Op]) -> None:
-        self.ops = ops
+class RecordingFile(apsw.VFSFile):
+    def __init__(self, base: str, name: Any, flags: Any, ops: list[DiskOperation]) -> None:
+        self.operations = ops
         self.path = name.filename() if isinstance(name, apsw.URIFilename) else str(name)
         super().__init__(base, name, flags)
 
     def xWrite(self, data: bytes, offset: int) -> None:  # noqa: N802 - SQLite's name
         super().xWrite(data, offset)
-        self.ops.append(Op("write", Path(self.path).name, offset, bytes(data)))
+        self.operations.append(DiskOperation("write", Path(self.path).name, offset, bytes(data)))
 
     def xTruncate(self, size: int) -> None:  # noqa: N802
         super().xTruncate(size)
-        self.ops.append(Op("truncate", Path(self.path).name, size))
+        self.operations.append(DiskOperation("truncate", Path(self.path).name, size))
 
     def xSync(self, flags: int) -> None:  # noqa: N802
         super().xSync(flags)
-        self.ops.append(Op("sync", Path(self.path).name))
+        self.operations.append(DiskOperation("sync", Path(self.path).name))
 
 
-class NotedDisk(apsw.VFS):
+class RecordingDisk(apsw.VFS):
     """Register it by making one; `ops` is what happened. `name` is what connections ask for."""
 
     def __init__(self, name: str = "noted") -> None:
-        self.ops: list[Op] = []
+        self.operations: list[DiskOperation] = []
         self.name = name
         super().__init__(name, "")
 
-    def xOpen(self, name: Any, flags: Any) -> NotedFile:  # noqa: N802
-        return NotedFile("", name, flags, self.ops)
+    def xOpen(self, name: Any, flags: Any) -> RecordingFile:  # noqa: N802
+        return RecordingFile("", name, flags, self.operations)
 
     def xDelete(self, filename: str, syncdir: bool) -> None:  # noqa: N802
         super().xDelete(filename, syncdir)
-        self.ops.append(Op("delete", Path(filename).name))
+        self.operations.append(DiskOperation("delete", Path(filename).name))
 
-    def mark(self, what: str) -> None:
+    def add_mark(self, what: str) -> None:
         """A mark among what happened: the test's own."""
-        self.ops.append(Op("mark", what))
+        self.operations.append(DiskOperation("mark", what))
 
 
-class FullDisk(NotedDisk):
+class FullDisk(RecordingDisk):
     """Has room for so many bytes more."""
 
     def __init__(self, name: str = "full") -> None:
-        self.room = 1 << 60
+        self.free_bytes = 1 << 60
         super().__init__(name)
 
     def xOpen(self, name: Any, flags: Any) -> "FullFile":  # noqa: N802
         return FullFile(self, name, flags)
 
 
-class FullFile(NotedFile):
+class FullFile(RecordingFile):
     def __init__(self, disk: FullDisk, name: Any, flags: Any) -> None:
         self.disk = disk
-        super().__init__("", name, flags, disk.ops)
+        super().__init__("", name, flags, disk.operations)
 
     def xWrite(self, data: bytes, offset: int) -> None:  # noqa: N802
-        if len(data) > self.disk.room:
+        if len(data) > self.disk.free_bytes:
             raise apsw.FullError("no room")
-        self.disk.room -= len(data)
+        self.disk.free_bytes -= len(data)
         super().xWrite(data, offset)
 
 
-def image(ops: list[Op], crash: int, draw: random.Random, folder: Path) -> None:
+def write_crash_image(ops: list[DiskOperation], crash: int, draw: random.Random, folder: Path) -> None:
     """Write into `folder` the files as a crash after `crash` ops may leave them."""
     sure: dict[str, bytearray] = {}
-    unsure: dict[str, list[Op]] = {}
+    unsure: dict[str, list[DiskOperation]] = {}
     for op in ops[:crash]:
-        if op.what in ("write", "truncate"):
-            sure.setdefault(op.name, bytearray())
-            unsure.setdefault(op.name, []).append(op)
-        elif op.what == "sync":
-            for waiting in unsure.pop(op.name, []):
-                _apply(sure[op.name], waiting)
-        elif op.what == "delete":
-            sure.pop(op.name, None)
-            unsure.pop(op.name, None)
+        if op.kind in ("write", "truncate"):
+            sure.setdefault(op.file_name, bytearray())
+            unsure.setdefault(op.file_name, []).append(op)
+        elif op.kind == "sync":
+            for waiting in unsure.pop(op.file_name, []):
+                _apply(sure[op.file_name], waiting)
+        elif op.kind == "delete":
+            sure.pop(op.file_name, None)
+            unsure.pop(op.file_name, None)
     for name, waiting in unsure.items():
         draw.shuffle(waiting)
         for op in waiting:
             fate = draw.random()
             if fate < 0.4:
                 continue
-            if fate < 0.6 and op.what == "write" and len(op.data) > SECTOR:
+            if fate < 0.6 and op.kind == "write" and len(op.data) > SECTOR:
                 op = op._replace(data=op.data[: SECTOR * draw.randrange(1, -(-len(op.data) // SECTOR))])
             _apply(sure[name], op)
     for name, data in sure.items():
         (folder / name).write_bytes(data)
 
 
-def _apply(data: bytearray, op: Op) -> None:
-    if op.what == "truncate":
-        del data[op.at :]
+def _apply(data: bytearray, op: DiskOperation) -> None:
+    if op.kind == "truncate":
+        del data[op.offset :]
         return
-    if len(data) < op.at:
-        data.extend(bytes(op.at - len(data)))
-    data[op.at : op.at + len(op.data)] = op.data
+    if len(data) < op.offset:
+        data.extend(bytes(op.offset - len(data)))
+    data[op.offset : op.offset + len(op.data)] = op.data
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -15,7 +15,7 @@
 from hypothesis import strategies as st
 
 from gingergap.cli.main import main
-from gingergap.standins.disk import FullDisk, NotedDisk, image
+from gingergap.standins.simulated_disk import FullDisk, RecordingDisk, write_crash_image
 from gingergap.store import record_store
 from gingergap.store.migrations import MIGRATIONS
 from gingergap.store.record_store import APPLICATION_ID, FILE_NAME, BadStoreError, RecordStore
@@ -75,7 +75,7 @@
 @pytest.fixture(scope="module")
 def disk():
     """A file layer that records every operation."""
-    disk = NotedDisk("noted-store")
+    disk = RecordingDisk("noted-store")
     yield disk
     disk.unregister()
 
@@ -85,19 +85,19 @@
     """Batches committed on a recording disk: its operations, with marks where a batch began and was acknowledged, and the
     state after each batch."""
     rng = random.Random(5)
-    disk.ops.clear()
+    disk.operations.clear()
     store = RecordStore(tmp_path_factory.mktemp("noted"), vfs="noted-store")
     states = [{}]
     for number in range(24):
         changes = random_batch(rng, number)
-        disk.mark("begin")
+        disk.add_mark("begin")
         store.commit(changes)
-        disk.mark("acknowledged")
+        disk.add_mark("acknowledged")
         states.append(apply_changes(states[-1], changes))
         if number in (8, 16):
             store.db.execute("PRAGMA wal_checkpoint(FULL)")
     store.close()
-    return list(disk.ops), states
+    return list(disk.operations), states
 
 
 @given(st.data())
@@ -106,9 +106,9 @@
     ops, states = sequence
     crash = data.draw(st.integers(0, len(ops)))
     folder = tmp_path_factory.mktemp("crash")
-    image(ops, crash, random.Random(data.draw(st.integers(0, 10**6))), folder)
-    begun = sum(op.what == "mark" and op.name == "begin" for op in ops[:crash])
-    acknowledged = sum(op.what == "mark" and op.name == "acknowledged" for op in ops[:crash])
+    write_crash_image(ops, crash, random.Random(data.draw(st.integers(0, 10**6))), folder)
+    begun = sum(op.kind == "mark" and op.file_name == "begin" for op in ops[:crash])
+    acknowledged = sum(op.kind == "mark" and op.file_name == "acknowledged" for op in ops[:crash])
     store = RecordStore(folder)
     assert store.damage == [] and store.verify() == []
     assert all_records(store) in states[acknowledged : begun + 1]  # every acknowledged batch, and no part of another
@@ -121,9 +121,9 @@
     for crash in range(0, len(ops) + 1, 3):
         folder = tmp_path / str(crash)
         folder.mkdir()
-        image(ops, crash, random.Random(crash), folder)
-        begun = sum(op.what == "mark" and op.name == "begin" for op in ops[:crash])
-        acknowledged = sum(op.what == "mark" and op.name == "acknowledged" for op in ops[:crash])
+        write_crash_image(ops, crash, random.Random(crash), folder)
+        begun = sum(op.kind == "mark" and op.file_name == "begin" for op in ops[:crash])
+        acknowledged = sum(op.kind == "mark" and op.file_name == "acknowledged" for op in ops[:crash])
         store = RecordStore(folder)
         assert all_records(store) in states[acknowledged : begun + 1], crash
         store.close()
@@ -308,11 +308,11 @@
         store = RecordStore(tmp_path, vfs="full-store")
         store.commit([Change(TOKEN, "a", TokenRecord(1))])
         before = all_records(store)
-        disk.room = 9_000
+        disk.free_bytes = 9_000
         with pytest.raises(BadStoreError, match="the disk is full"):
             store.commit([Change(STANDING, encode_key(f"call{number}", "ct"), DIALOG) for number in range(500)])
         assert all_records(store) == before
-        disk.room = 1 << 30
+        disk.free_bytes = 1 << 30
         store.commit([Change(TOKEN, "b", TokenRecord(2))])
         store.close()
         reopened = RecordStore(tmp_path)
@@ -423,9 +423,14 @@
 
 
 def test_the_simulated_disk_produces_lost_partial_and_torn_writes():
-    from gingergap.standins.disk import Op
-
-    ops = [Op("write", "a", 0, b"x" * 600), Op("sync", "a"), Op("write", "a", 0, b"y" * 2000), Op("truncate", "a", 100)]
+    from gingergap.standins.simulated_disk import DiskOperation
+
+    ops = [
+        DiskOperation("write", "a", 0, b"x" * 600),
+        DiskOperation("sync", "a"),
+        DiskOperation("write", "a", 0, b"y" * 2000),
+        DiskOperation("truncate", "a", 100),
+    ]
     seen = set()
     for seed in range(200):
 
@@ -438,7 +443,7 @@
                 self[self.name] = bytes(data)
 
         folder = Folder()
-        image(ops, 4, random.Random(seed), folder)
+        write_crash_image(ops, 4, random.Random(seed), folder)
         seen.add(folder["a"])
     assert b"x" * 600 in seen and b"y" * 2000 in seen and b"y" * 100 in seen and b"x" * 100 in seen
     assert any(0 < content.count(b"y") < 2000 and content.count(b"y") % 512 == 0 for content in seen)  # torn
