--- a/gingergap/cli/main.py
+++ b/gingergap/cli/main.py
@@ -206,11 +206,11 @@
 
     from ..settings.day import DayForm
     from ..settings.forms import parse
-    from ..standins.from_bench import BadDayFileError, scripted
+    from ..standins.from_bench import BadDayFileError, convert_bench_day
     from ..standins.player import format_settings
 
     try:
-        parts, left = scripted(msgspec.json.decode(file.read_bytes()), seconds)
+        parts, left = convert_bench_day(msgspec.json.decode(file.read_bytes()), seconds)
         text = format_settings("day", **parts)
         parse(text, "the scripted day", day=DayForm)
     except OSError as error:
@@ -466,17 +466,17 @@
 
 def _judge(folder: Path) -> int:
     from ..standins.checker import BadCaptureError, check
-    from ..standins.report import offers_in, whole
+    from ..standins.report import day_report, read_offers
     from .tables import day_tables
 
     try:
         verdict = check(folder / "capture.jsonl")
-        report = whole(folder, verdict, offers_in(folder))
+        report = day_report(folder, verdict, read_offers(folder))
     except BadCaptureError as bad:
         _fail([str(bad)])
     (folder / "report.json").write_text(json.dumps(report, indent=1) + "\n")
     day_tables(report)
-    return 0 if verdict.kept else 1
+    return 0 if verdict.passed else 1
 
 
 main.add_command(trace)
--- a/gingergap/standins/checker.py
+++ b/gingergap/standins/checker.py
@@ -54,7 +54,7 @@
             self.breaches.append(Breach(rule, dialog, at, why, lines))
 
     @property
-    def kept(self) -> bool:
+    def passed(self) -> bool:
         """Whether all rules were kept, and the capture held something to judge them on."""
         return not any(self.broken.values()) and self.judged[1] > 0 and self.judged[2] > 0
 
--- a/gingergap/standins/from_bench.py
+++ b/gingergap/standins/from_bench.py
@@ -24,7 +24,7 @@
     return part
 
 
-def scripted(bench: Any, seconds: float) -> tuple[dict[str, Any], list[str]]:
+def convert_bench_day(bench: Any, seconds: float) -> tuple[dict[str, Any], list[str]]:
     """Parts of a `(day ...)` form, and what was left out or bent. Raises BadDayFileError."""
     if not isinstance(bench, dict):
         raise BadDayFileError("the file holds no object")
--- a/gingergap/standins/report.py
+++ b/gingergap/standins/report.py
@@ -50,7 +50,7 @@
     }
 
 
-def from_capture(path: Path) -> dict[str, Any]:
+def measure_capture(path: Path) -> dict[str, Any]:
     """Added delay of first legs and final answers by status, as seen at the sockets of callers and exchanges."""
     proxies: set[str] = set()
     came: dict[tuple[str, str], float] = {}
@@ -130,18 +130,18 @@
     }
 
 
-def whole(folder: Path, verdict: Verdict, offers: list[Offer]) -> dict[str, Any]:
+def day_report(folder: Path, verdict: Verdict, offers: list[Offer]) -> dict[str, Any]:
     """The report of a day, as `report.json` has it."""
     return {
         **rules(verdict),
         **service(offers),
         "setup_ms": percentiles([offer.took for offer in offers if offer.stood >= 0]),
-        **from_capture(folder / "capture.jsonl"),
+        **measure_capture(folder / "capture.jsonl"),
         "duties": duties(folder / "capture.jsonl"),
     }
 
 
-def offers_in(folder: Path) -> list[Offer]:
+def read_offers(folder: Path) -> list[Offer]:
     offers: list[Offer] = []
     for path in sorted(folder.glob("callers-*.json")):
         offers += msgspec.json.decode(path.read_bytes(), type=list[Offer])
--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -7,7 +7,7 @@
 
 from gingergap.cli.main import main
 from gingergap.standins.checker import BadCaptureError, check
-from gingergap.standins.report import from_capture
+from gingergap.standins.report import measure_capture
 
 PROXY, CALLERS, LIST, X1, X2 = (f"127.0.0.1:{port}" for port in (7000, 9000, 7300, 7101, 7102))
 
@@ -120,7 +120,7 @@
 
 def test_a_whole_capture_passes_and_says_on_what(tmp_path):
     verdict = judge(tmp_path, day())
-    assert verdict.kept and not verdict.breaches
+    assert verdict.passed and not verdict.breaches
     assert verdict.judged == {1: 22, 2: 21, 3: 1, 4: 1, 5: 1}
 
 
@@ -183,7 +183,7 @@
     verdict = judge(tmp_path, change(day()))
     broken = {number for number, count in verdict.broken.items() if count}
     assert broken == {rule}
-    assert verdict.breaches[0].lines and not verdict.kept
+    assert verdict.breaches[0].lines and not verdict.passed
 
 
 def test_a_leg_of_which_nothing_was_heard_must_have_been_silent_for_the_guard(tmp_path):
@@ -272,7 +272,7 @@
         leg_answer(4.2, 200, "z9hG4bKa"),
         final(4.2, 200),
     ]
-    assert judge(tmp_path, lines).kept
+    assert judge(tmp_path, lines).passed
 
 
 def test_what_a_killed_proxy_held_is_its_duty_no_more(tmp_path):
@@ -320,7 +320,7 @@
 
 
 def test_nothing_judged_is_no_pass(tmp_path):
-    assert not judge(tmp_path, NOTES).kept
+    assert not judge(tmp_path, NOTES).passed
 
 
 def test_the_command_judges_a_folder_with_its_exit_codes(tmp_path):
@@ -335,4 +335,4 @@
     assert report["rules"]["5"] == {"judged": 1, "broken": 0}
     judge(tmp_path, [*day(), final(2.6, 486, "c2")])
     assert runner.invoke(main, ["day", "check", str(tmp_path)]).exit_code == 1
-    assert from_capture(tmp_path / "capture.jsonl")["final_answers"]["200"] == 20
+    assert measure_capture(tmp_path / "capture.jsonl")["final_answers"]["200"] == 20
--- a/tests/test_from_bench.py
+++ b/tests/test_from_bench.py
@@ -8,7 +8,7 @@
 from gingergap.cli.main import main
 from gingergap.settings.day import DayForm
 from gingergap.settings.forms import parse
-from gingergap.standins.from_bench import BadDayFileError, scripted
+from gingergap.standins.from_bench import BadDayFileError, convert_bench_day
 from gingergap.standins.player import format_settings
 
 KINDS = {
@@ -78,7 +78,7 @@
 
 
 def test_every_kind_of_trouble_has_its_fault():
-    parts, left = scripted(
+    parts, left = convert_bench_day(
         bench(
             *(trouble(kind, 2.0 if kind in ("burst", "slow", "shared_slow", "ageing", "origin_slow") else 0.4) for kind in KINDS)
         ),
@@ -92,18 +92,18 @@
 
 @pytest.mark.parametrize(("how", "kind"), [("silence", "answers-lost"), ("reset", "resets")])
 def test_answers_are_lost_in_two_ways(how, kind):
-    day = day_of(scripted(bench(trouble("answer_lost", how=how)), 25)[0])
+    day = day_of(convert_bench_day(bench(trouble("answer_lost", how=how)), 25)[0])
     assert [fault.kind for fault in day.fault] == [kind]
 
 
 def test_what_has_no_fault_is_said():
-    parts, left = scripted(bench(trouble("report_late"), trouble("unheard_of")), 25)
+    parts, left = convert_bench_day(bench(trouble("report_late"), trouble("unheard_of")), 25)
     assert "fault" not in parts
     assert sum("nothing of the kind is played" in line for line in left) == 2
 
 
 def test_groups_keep_their_proportion_to_what_is_offered():
-    day = day_of(scripted(bench(), 25)[0])
+    day = day_of(convert_bench_day(bench(), 25)[0])
     assert day.groups.without == pytest.approx(1 / 3, abs=0.01) and day.exchanges == 4
     wide = sum(entry.share * entry.circuits * entry.hold_s for entry in day.traffic_type)
     assert day.groups.mean == pytest.approx(1.5 * 2 * day.rate * wide / 3, abs=1)
@@ -125,7 +125,7 @@
     day = bench()
     change(day)
     with pytest.raises(BadDayFileError):
-        scripted(day, 25)
+        convert_bench_day(day, 25)
     path = tmp_path / "day.json"
     path.write_text(json.dumps(day))
     result = CliRunner().invoke(main, ["day", "from-bench", str(path)])
