--- a/gingergap/standins/caller.py
+++ b/gingergap/standins/caller.py
@@ -20,8 +20,8 @@
 from ..sip.transactions import MAGIC, Client, Hop, Lost, Server, State
 from .capture import Capture, HarmfulGate
 from .day_plan import DayPlan
-from .element import Element, units
 from .exchange import BODY
+from .sip_element import Element, units
 
 SPREAD = 0.5  # of the logarithm of how long a dialog lasts
 
--- a/gingergap/standins/links.py
+++ b/gingergap/standins/datagram_relay.py
@@ -11,7 +11,7 @@
 from random import Random
 
 
-class Links:
+class DatagramRelay:
     """`real` and `known` addresses by member number; `cut(source, target)` says whether nothing passes now."""
 
     def __init__(
--- a/gingergap/standins/exchange.py
+++ b/gingergap/standins/exchange.py
@@ -22,10 +22,10 @@
 from ..sip.message import BadMessageError, Message, response
 from ..sip.transactions import MAGIC, Client, Hop, Lost, Server, stamp_via
 from .capture import Capture, HarmfulGate
-from .circuits import SharedCircuits
 from .day_plan import BEFORE_DAY, NEVER, DayPlan, MachineRun
-from .element import Element, units
 from .notifier import Notifier
+from .shared_circuits import SharedCircuits
+from .sip_element import Element, units
 
 FORWARDED = MAGIC + "t"
 LONGEST_SETUP = 15.0  # seconds after which circuits of a set-up that was never finished are freed
--- a/gingergap/standins/exchange_list.py
+++ b/gingergap/standins/exchange_list.py
@@ -11,8 +11,8 @@
 from ..sip.transactions import Client, Hop, Lost, Server
 from .capture import Capture, HarmfulGate
 from .day_plan import BEFORE_DAY, DayPlan
-from .element import Element, units
 from .notifier import Notifier
+from .sip_element import Element, units
 
 
 class ExchangeList(Element):
--- a/gingergap/standins/player.py
+++ b/gingergap/standins/player.py
@@ -15,9 +15,9 @@
 
 from ..settings.day import DayForm
 from .capture import Capture
-from .circuits import SharedCircuits
+from .datagram_relay import DatagramRelay
 from .day_plan import DayPlan
-from .links import Links
+from .shared_circuits import SharedCircuits
 
 HOST = "127.0.0.1"
 LEAD = 2.0  # seconds until the day begins, and more for each process that has to come up
@@ -100,8 +100,8 @@
         SharedCircuits(self.folder / "circuits", self.day.exchanges, create=True).close()
         self.epoch = time.monotonic() + LEAD + 0.12 * (3 * self.day.exchanges + 1)
         capture = Capture(self.folder / "part-player.jsonl")
-        links = (
-            Links([_pair(text) for text in self.members_at], [_pair(text) for text in self.members], self._split, seed=self.seed)
+        relay = (
+            DatagramRelay([_pair(text) for text in self.members_at], [_pair(text) for text in self.members], self._split, seed=self.seed)
             if self.day.coordination
             else None
         )
@@ -124,8 +124,8 @@
                 process.wait()
             for log in self.logs:
                 log.close()
-            if links is not None:
-                links.close()
+            if relay is not None:
+                relay.close()
             capture.close()
         self._gather()
 
