--- a/gingergap/standins/__init__.py
+++ b/gingergap/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what a proxy meets: exchanges, callers, the exchange list, faults; and the checker of the rules."""
+"""Simulated peers of a proxy for scripted days: exchanges, callers, the exchange list and faults; and the rule checker."""
--- a/gingergap/standins/caller.py
+++ b/gingergap/standins/caller.py
@@ -18,7 +18,7 @@
 from ..sip.fields import reason_of, seconds_of, tag_of
 from ..sip.message import Message, response
 from ..sip.transactions import MAGIC, Client, Hop, Lost, Server, State
-from .capture import Capture, HarmfulGate
+from .capture import Capture, FaultInjector
 from .day_plan import DayPlan
 from .exchange import BODY
 from .sip_element import Element, units
@@ -61,7 +61,9 @@
         self, plan: DayPlan, home: int, address: tuple[str, int], proxy: tuple[str, int], epoch: float, capture: Capture
     ) -> None:
         self.plan, self.home, self.proxy, self.epoch = plan, home, proxy, epoch
-        gate = HarmfulGate(capture, plan, self.now, f"{address[0]}:{address[1]}", f"{plan.seed} callers {home}", frozenset([proxy]))
+        gate = FaultInjector(
+            capture, plan, self.now, f"{address[0]}:{address[1]}", f"{plan.seed} callers {home}", frozenset([proxy])
+        )
         super().__init__(address, epoch, gate)
         self.draw = random.Random(f"{plan.seed} callers {home}")
         self.tries: dict[tuple[str, str], Try] = {}
--- a/gingergap/standins/datagram_relay.py
+++ b/gingergap/standins/datagram_relay.py
@@ -1,7 +1,7 @@
-"""The network between coordinating proxies: a relay that can split them, lose what passes, and count it.
+"""A relay for the datagrams between coordinating proxies: it can partition the members, drop datagrams, and counts them.
 
-Each member is known by the address of a relay socket. What comes there from another member's real socket is sent on from
-that other's relay socket, so that both ends see nothing but known addresses.
+Each member's public address is that of a relay socket. A datagram that arrives there from another member's real socket is
+forwarded from that other member's relay socket, so that both ends see only public addresses.
 """
 
 import selectors
@@ -12,21 +12,25 @@
 
 
 class DatagramRelay:
-    """`real` and `known` addresses by member number; `cut(source, target)` says whether nothing passes now."""
+    """Relays between members, in a thread of its own until `close`.
+
+    `real_addresses` and `public_addresses` are indexed by member number. `is_cut(source, target)` returns whether the members are
+    partitioned now; `loss` is the probability that a datagram is dropped. Counts: `passed`, `passed_bytes`, `lost`.
+    """
 
     def __init__(
         self,
-        real: list[tuple[str, int]],
-        known: list[tuple[str, int]],
-        cut: Callable[[int, int], bool],
+        real_addresses: list[tuple[str, int]],
+        public_addresses: list[tuple[str, int]],
+        is_cut: Callable[[int, int], bool],
         loss: float = 0.0,
         seed: int = 1,
     ) -> None:
-        self.real, self.cut, self.loss, self.draw = real, cut, loss, Random(seed)
-        self.numbers = {address: number for number, address in enumerate(real)}
+        self.real_addresses, self.is_cut, self.loss, self.draw = real_addresses, is_cut, loss, Random(seed)
+        self.number_by_address = {address: number for number, address in enumerate(real_addresses)}
         self.passed = self.lost = self.passed_bytes = 0
         self.sockets = []
-        for address in known:
+        for address in public_addresses:
             sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
             sock.bind(address)
             sock.setblocking(False)
@@ -41,24 +45,24 @@
             selector.register(sock, selectors.EVENT_READ, number)
         while self.running:
             for key, _ in selector.select(0.1):
-                self._pass(key.data, self.sockets[key.data])
+                self._forward(key.data, self.sockets[key.data])
         selector.close()
 
-    def _pass(self, target: int, sock: socket.socket) -> None:
+    def _forward(self, target: int, sock: socket.socket) -> None:
         try:
             data, address = sock.recvfrom(65_536)
         except OSError:
             return
-        source = self.numbers.get(address)
+        source = self.number_by_address.get(address)
         if source is None:
             return
-        if self.cut(source, target) or self.draw.random() < self.loss:
+        if self.is_cut(source, target) or self.draw.random() < self.loss:
             self.lost += 1
             return
         self.passed += 1
         self.passed_bytes += len(data)
         try:
-            self.sockets[source].sendto(data, self.real[target])
+            self.sockets[source].sendto(data, self.real_addresses[target])
         except OSError:
             self.lost += 1
 
--- a/gingergap/standins/exchange.py
+++ b/gingergap/standins/exchange.py
@@ -21,7 +21,7 @@
 from ..sip.fields import address_of, params_of, q850, tag_of, top_via, uri_of
 from ..sip.message import BadMessageError, Message, response
 from ..sip.transactions import MAGIC, Client, Hop, Lost, Server, stamp_via
-from .capture import Capture, HarmfulGate
+from .capture import Capture, FaultInjector
 from .day_plan import BEFORE_DAY, NEVER, DayPlan, MachineRun
 from .notifier import Notifier
 from .shared_circuits import SharedCircuits
@@ -65,7 +65,7 @@
         self.homes, self.shared, self.capture, self.epoch = homes, shared, capture, epoch
         self.proxy_hop = Hop("TCP" if proxy_tcp else "UDP", *proxy)
         self.draw = random.Random(f"{plan.seed} {life.id} {life.starts_at}")
-        gate = HarmfulGate(
+        gate = FaultInjector(
             capture,
             plan,
             self.now,
--- a/gingergap/standins/exchange_list.py
+++ b/gingergap/standins/exchange_list.py
@@ -9,7 +9,7 @@
 
 from ..sip.message import Message, response
 from ..sip.transactions import Client, Hop, Lost, Server
-from .capture import Capture, HarmfulGate
+from .capture import Capture, FaultInjector
 from .day_plan import BEFORE_DAY, DayPlan
 from .notifier import Notifier
 from .sip_element import Element, units
@@ -28,7 +28,7 @@
         capture: Capture,
     ) -> None:
         self.plan, self.addresses, self.epoch, self.capture = plan, addresses, epoch, capture
-        gate = HarmfulGate(
+        gate = FaultInjector(
             capture, plan, self.now, f"{address[0]}:{address[1]}", f"{plan.seed} list", proxies, self._lost, self._lost
         )
         super().__init__(address, epoch, gate)
--- a/gingergap/standins/player.py
+++ b/gingergap/standins/player.py
@@ -101,7 +101,9 @@
         self.epoch = time.monotonic() + LEAD + 0.12 * (3 * self.day.exchanges + 1)
         capture = Capture(self.folder / "part-player.jsonl")
         relay = (
-            DatagramRelay([_pair(text) for text in self.members_at], [_pair(text) for text in self.members], self._split, seed=self.seed)
+            DatagramRelay(
+                [_pair(text) for text in self.members_at], [_pair(text) for text in self.members], self._split, seed=self.seed
+            )
             if self.day.coordination
             else None
         )
--- a/gingergap/standins/shared_circuits.py
+++ b/gingergap/standins/shared_circuits.py
@@ -1,6 +1,7 @@
-"""Circuits in use, shared by the exchange processes of a day through a small file: each cell has one writer, the
-exchange that the set-up reaches, and both ends of a group read both cells. Two ends that seize the last circuit at
-the same moment may overshoot by one, as on a real group.
+"""Circuits in use of each trunk group, shared by the exchange processes of a day through a small memory-mapped file.
+
+Each cell has one writer, the exchange that the set-up reaches; both ends of a group read both cells. If both ends seize the
+last circuit at the same moment, one circuit too many is in use, as on a real group.
 """
 
 import mmap
@@ -11,7 +12,10 @@
 
 
 class SharedCircuits:
-    """`cell(a, b)` counts circuits of the group a-b held by set-ups that reached b."""
+    """Cell (a, b) of the file counts the circuits of group a-b held by set-ups that reached b.
+
+    `create` writes a new file with all cells at zero.
+    """
 
     def __init__(self, path: Path, exchanges: int, create: bool = False) -> None:
         self.exchanges = exchanges
@@ -19,22 +23,24 @@
         if create:
             path.write_bytes(bytes(size))
         with path.open("r+b") as file:
-            self.map = mmap.mmap(file.fileno(), size)
+            self.mapping = mmap.mmap(file.fileno(), size)
 
-    def _at(self, source: int, target: int) -> int:
+    def _offset(self, source: int, target: int) -> int:
         return CELL.size * (source * self.exchanges + target)
 
     def held(self, a: int, b: int) -> int:
-        return CELL.unpack_from(self.map, self._at(a, b))[0] + CELL.unpack_from(self.map, self._at(b, a))[0]
+        """Circuits in use of the group between two exchanges."""
+        return CELL.unpack_from(self.mapping, self._offset(a, b))[0] + CELL.unpack_from(self.mapping, self._offset(b, a))[0]
 
-    def add(self, source: int, target: int, width: int) -> None:
-        at = self._at(source, target)
-        CELL.pack_into(self.map, at, CELL.unpack_from(self.map, at)[0] + width)
+    def add(self, source: int, target: int, circuits: int) -> None:
+        """Add to the circuits held by set-ups from `source` that reached `target`; a negative count frees them."""
+        offset = self._offset(source, target)
+        CELL.pack_into(self.mapping, offset, CELL.unpack_from(self.mapping, offset)[0] + circuits)
 
     def clear(self, target: int) -> None:
-        """An exchange starts: nothing that reached it before is held any more."""
+        """Free all circuits held by set-ups that reached `target`, for an exchange that starts."""
         for source in range(self.exchanges):
-            CELL.pack_into(self.map, self._at(source, target), 0)
+            CELL.pack_into(self.mapping, self._offset(source, target), 0)
 
     def close(self) -> None:
-        self.map.close()
+        self.mapping.close()
--- a/gingergap/standins/simulated_disk.py
+++ b/gingergap/standins/simulated_disk.py
@@ -1,8 +1,8 @@
-"""A disk that loses power: a file layer for SQLite (apsw's VFS) that notes every write and sync, and images of what a crash at
-any moment may leave of them.
+"""A simulated disk for tests of crash recovery: a file layer for SQLite (apsw's VFS) that records every write and sync, and
+images of the files that a power loss at any moment may leave.
 
-What was synced before the crash is there, whole. Of what was written since, each part may be there, be missing, or be torn
-at a sector, in any combination, whatever order it was written in.
+Data synced before the crash is complete. Of the data written since the last sync, each write may be present, missing, or torn
+at a sector boundary, in any combination and regardless of the order of the writes.
 """
 
 import random
@@ -11,11 +11,11 @@
 
 import apsw
 
-SECTOR = 512
+SECTOR = 512  # bytes
 
 
 class DiskOperation(NamedTuple):
-    """One thing done to a file: write (at, data), truncate (at), sync, delete; or a mark of the test's."""
+    """One recorded operation: kind write (offset, data), truncate (offset), sync, delete, or mark (set by a test)."""
 
     kind: str
     file_name: str
@@ -24,8 +24,8 @@
 
 
 class RecordingFile(apsw.VFSFile):
-    def __init__(self, base: str, name: Any, flags: Any, ops: list[DiskOperation]) -> None:
-        self.operations = ops
+    def __init__(self, base: str, name: Any, flags: Any, operations: list[DiskOperation]) -> None:
+        self.operations = operations
         self.path = name.filename() if isinstance(name, apsw.URIFilename) else str(name)
         super().__init__(base, name, flags)
 
@@ -43,7 +43,7 @@
 
 
 class RecordingDisk(apsw.VFS):
-    """Register it by making one; `ops` is what happened. `name` is what connections ask for."""
+    """A VFS that records its operations in `operations`. Creating an instance registers it; connections select it by `name`."""
 
     def __init__(self, name: str = "noted") -> None:
         self.operations: list[DiskOperation] = []
@@ -57,13 +57,13 @@
         super().xDelete(filename, syncdir)
         self.operations.append(DiskOperation("delete", Path(filename).name))
 
-    def add_mark(self, what: str) -> None:
-        """A mark among what happened: the test's own."""
-        self.operations.append(DiskOperation("mark", what))
+    def add_mark(self, label: str) -> None:
+        """Record a mark called `label`, so that a test can tell which operations came before it."""
+        self.operations.append(DiskOperation("mark", label))
 
 
 class FullDisk(RecordingDisk):
-    """Has room for so many bytes more."""
+    """A recording disk that refuses writes beyond `free_bytes`."""
 
     def __init__(self, name: str = "full") -> None:
         self.free_bytes = 1 << 60
@@ -85,37 +85,40 @@
         super().xWrite(data, offset)
 
 
-def write_crash_image(ops: list[DiskOperation], crash: int, draw: random.Random, folder: Path) -> None:
-    """Write into `folder` the files as a crash after `crash` ops may leave them."""
-    sure: dict[str, bytearray] = {}
-    unsure: dict[str, list[DiskOperation]] = {}
-    for op in ops[:crash]:
-        if op.kind in ("write", "truncate"):
-            sure.setdefault(op.file_name, bytearray())
-            unsure.setdefault(op.file_name, []).append(op)
-        elif op.kind == "sync":
-            for waiting in unsure.pop(op.file_name, []):
-                _apply(sure[op.file_name], waiting)
-        elif op.kind == "delete":
-            sure.pop(op.file_name, None)
-            unsure.pop(op.file_name, None)
-    for name, waiting in unsure.items():
-        draw.shuffle(waiting)
-        for op in waiting:
-            fate = draw.random()
-            if fate < 0.4:
+def write_crash_image(operations: list[DiskOperation], crash: int, draw: random.Random, folder: Path) -> None:
+    """Write into `folder` the files as a crash after the first `crash` operations may leave them.
+
+    `draw` decides which unsynced writes are present, missing or torn.
+    """
+    synced: dict[str, bytearray] = {}
+    unsynced: dict[str, list[DiskOperation]] = {}
+    for operation in operations[:crash]:
+        if operation.kind in ("write", "truncate"):
+            synced.setdefault(operation.file_name, bytearray())
+            unsynced.setdefault(operation.file_name, []).append(operation)
+        elif operation.kind == "sync":
+            for pending in unsynced.pop(operation.file_name, []):
+                _apply(synced[operation.file_name], pending)
+        elif operation.kind == "delete":
+            synced.pop(operation.file_name, None)
+            unsynced.pop(operation.file_name, None)
+    for name, pending in unsynced.items():
+        draw.shuffle(pending)
+        for operation in pending:
+            outcome = draw.random()
+            if outcome < 0.4:
                 continue
-            if fate < 0.6 and op.kind == "write" and len(op.data) > SECTOR:
-                op = op._replace(data=op.data[: SECTOR * draw.randrange(1, -(-len(op.data) // SECTOR))])
-            _apply(sure[name], op)
-    for name, data in sure.items():
+            if outcome < 0.6 and operation.kind == "write" and len(operation.data) > SECTOR:
+                operation = operation._replace(data=operation.data[: SECTOR * draw.randrange(1, -(-len(operation.data) // SECTOR))])
+            _apply(synced[name], operation)
+    for name, data in synced.items():
         (folder / name).write_bytes(data)
 
 
-def _apply(data: bytearray, op: DiskOperation) -> None:
-    if op.kind == "truncate":
-        del data[op.offset :]
+def _apply(data: bytearray, operation: DiskOperation) -> None:
+    if operation.kind == "truncate":
+        del data[operation.offset :]
         return
-    if len(data) < op.offset:
-        data.extend(bytes(op.offset - len(data)))
-    data[op.offset : op.offset + len(op.data)] = op.data
+    if len(data) < operation.offset:
+        data.extend(bytes(operation.offset - len(data)))
+    data[operation.offset : operation.offset + len(operation.data)] = operation.data
--- a/gingergap/standins/sip_element.py
+++ b/gingergap/standins/sip_element.py
@@ -7,7 +7,7 @@
 from ..sip.message import BadMessageError, Message
 from ..sip.transactions import Client, Hop, Lost, Server, Transactions
 from ..transport.sockets import Sockets
-from .capture import HarmfulGate
+from .capture import FaultInjector
 
 
 def units() -> int:
@@ -19,7 +19,7 @@
     """Owner of its sockets and user of its transactions; stand-ins override what they answer to. `epoch` is when the
     day began, in seconds of the monotonic clock."""
 
-    def __init__(self, address: tuple[str, int], epoch: float, gate: HarmfulGate) -> None:
+    def __init__(self, address: tuple[str, int], epoch: float, gate: FaultInjector) -> None:
         self.address, self.epoch = address, epoch
         self.sockets = Sockets(self, address, gate)
         self.transactions = Transactions(self, self.sockets, address)
