--- a/gingergap/standins/from_bench.py
+++ b/gingergap/standins/from_bench.py
@@ -1,19 +1,19 @@
-"""A day file of the decision bench as a scripted day of the same kinds of trouble, scaled down to one machine.
+"""Converts a day file of the decision bench to a scripted day with the same kinds of faults, scaled down to one machine.
 
-What carries over: traffic types, how long dialogs last against how many circuits there are, pairs without a group, how
-callers dial again, how late the list is, cold starts, each trouble with its strength and its part of the exchanges.
-What does not is said, one line each. Times of the bench file are in microseconds.
+Converted are: traffic types, the ratio of dialog durations to circuits, pairs without a group, the redials of callers, the
+delays of the exchange list, cold starts, and each fault with its strength and its share of the exchanges. Each thing that is
+left out is reported in one line. Times in the bench file are in microseconds.
 """
 
 from typing import Any
 
-RATE = 7.0  # first tries a second at each exchange
-MOST_EXCHANGES = 6
-SHORTEST_HOLD, LONGEST_HOLD = 1.5, 4.0  # seconds
+RATE = 7.0  # first attempts per second at each exchange
+MAX_EXCHANGES = 6
+MIN_HOLD, MAX_HOLD = 1.5, 4.0  # mean duration of dialogs, in seconds
 
 
 class BadDayFileError(Exception):
-    """The text names what is missing."""
+    """The file is no bench day that can be converted; the text names the reason."""
 
 
 def _get(part: Any, *names: str) -> Any:
@@ -25,78 +25,85 @@
 
 
 def convert_bench_day(bench: Any, seconds: float) -> tuple[dict[str, Any], list[str]]:
-    """Parts of a `(day ...)` form, and what was left out or bent. Raises BadDayFileError."""
+    """Convert a decoded bench day to a scripted day that lasts `seconds`.
+
+    Returns the parts of its `(day ...)` form, and a line on each thing that was left out or changed. Raises BadDayFileError.
+    """
     if not isinstance(bench, dict):
         raise BadDayFileError("the file holds no object")
-    left: list[str] = []
+    remarks: list[str] = []
     if _get(bench, "family") != "trunks" or _get(bench, "fam", "pools"):
         raise BadDayFileError("only days of exchanges joined by groups can be played")
     try:
-        return _scripted(bench, seconds, left), left
+        return _convert(bench, seconds, remarks), remarks
     except (TypeError, ValueError, IndexError, ZeroDivisionError) as error:
         raise BadDayFileError(f"a field is ill-typed ({error})") from None
 
 
-def _scripted(bench: dict[str, Any], seconds: float, left: list[str]) -> dict[str, Any]:
+def _convert(bench: dict[str, Any], seconds: float, remarks: list[str]) -> dict[str, Any]:
     length = _get(bench, "length") / 1e6
     scale = seconds / length
-    there = len(_get(bench, "servers"))
-    here = max(3, min(there, MOST_EXCHANGES))
-    if there != here:
-        left.append(f"{there} exchanges became {here}")
-    left.append(f"{length:.0f} s became {seconds:g} s: times are scaled by {scale:.2f}, stalls and delays of messages are not")
-    classes, fam, clients = _get(bench, "classes"), _get(bench, "fam"), _get(bench, "clients")
-    shares = [float(_get(entry, "share")) for entry in classes]
-    holds = [hold / 1e6 for hold in _get(fam, "hold")]
+    bench_exchanges = len(_get(bench, "servers"))
+    exchanges = max(3, min(bench_exchanges, MAX_EXCHANGES))
+    if bench_exchanges != exchanges:
+        remarks.append(f"{bench_exchanges} exchanges became {exchanges}")
+    remarks.append(f"{length:.0f} s became {seconds:g} s: times are scaled by {scale:.2f}, stalls and delays of messages are not")
+    bench_types, family, clients = _get(bench, "classes"), _get(bench, "fam"), _get(bench, "clients")
+    shares = [float(_get(entry, "share")) for entry in bench_types]
+    holds = [hold / 1e6 for hold in _get(family, "hold")]
     mean_hold = sum(share * hold for share, hold in zip(shares, holds, strict=True)) / sum(shares)
-    bend = min(max(mean_hold * scale, SHORTEST_HOLD), LONGEST_HOLD) / mean_hold
-    tries = float(_get(clients, "try_share"))
+    hold_factor = min(max(mean_hold * scale, MIN_HOLD), MAX_HOLD) / mean_hold
+    try_share = float(_get(clients, "try_share"))
     types = [
         {
             "name": str(_get(entry, "name")),
             "share": round(share / sum(shares), 6),
             "circuits": int(width),
             "importance": float(_get(entry, "worth")),
-            "hold_s": round(hold * bend, 2),
-            "resource_priority": [f"q735.{min(place, 4)}"] if place else [],
+            "hold_s": round(hold * hold_factor, 2),
+            "resource_priority": [f"q735.{min(index, 4)}"] if index else [],
             "setup_objective_ms": _get(entry, "aim") / 1000,
             "no_answer_time_ms": _get(entry, "deadline") / 1000,
             "late_share": float(_get(entry, "late_worth")),
             "repeatable": _get(entry, "effect") == "safe",
-            "patience_s": max(1, round(_get(entry, "deadline") / 1e6 * tries)),
+            "patience_s": max(1, round(_get(entry, "deadline") / 1e6 * try_share)),
         }
-        for place, (entry, share, width, hold) in enumerate(zip(classes, shares, _get(fam, "width"), holds, strict=True))
+        for index, (entry, share, width, hold) in enumerate(zip(bench_types, shares, _get(family, "width"), holds, strict=True))
     ]
     types[0]["share"] = round(1 - sum(entry["share"] for entry in types[1:]), 6)
     if len(types) > 5:
         raise BadDayFileError("more traffic types than Resource-Priority values of one namespace")
-    number = int(_get(fam, "n"))
-    pairs = [(a, b) for a in range(number) for b in range(a + 1, number)]
-    sizes = [_get(fam, "size")[a * number + b] for a, b in pairs]
-    offered = [_get(fam, "erl")[a * number + b] for a, b in pairs]
-    held = sum(size > 0 for size in sizes) or 1
-    ratio = sum(sizes) / max(1e-9, sum(load for load, size in zip(offered, sizes, strict=True) if size))
-    wide = sum(entry["share"] * entry["circuits"] * entry["hold_s"] for entry in types)
-    erlangs = 2 * RATE * wide / (here - 1)
-    mean = sum(sizes) / held
-    spread = min(0.8, (sum((size - mean) ** 2 for size in sizes if size) / held) ** 0.5 / mean * 1.7)
-    kind = _get(bench, "tiers")[0]["kinds"][0]
+    count = int(_get(family, "n"))
+    pairs = [(a, b) for a in range(count) for b in range(a + 1, count)]
+    sizes = [_get(family, "size")[a * count + b] for a, b in pairs]
+    offered = [_get(family, "erl")[a * count + b] for a, b in pairs]
+    group_count = sum(size > 0 for size in sizes) or 1
+    circuit_ratio = sum(sizes) / max(1e-9, sum(offered_load for offered_load, size in zip(offered, sizes, strict=True) if size))
+    circuit_seconds = sum(entry["share"] * entry["circuits"] * entry["hold_s"] for entry in types)
+    erlangs = 2 * RATE * circuit_seconds / (exchanges - 1)
+    mean = sum(sizes) / group_count
+    spread = min(0.8, (sum((size - mean) ** 2 for size in sizes if size) / group_count) ** 0.5 / mean * 1.7)
+    machine_kind = _get(bench, "tiers")[0]["kinds"][0]
     discovery = _get(bench, "discovery")
-    use = float(_get(bench, "traffic", "load"))
-    per_dialog = 1000 * min(0.9, 0.6 * use) / (RATE * 1.25)
+    load = float(_get(bench, "traffic", "load"))
+    per_dialog = 1000 * min(0.9, 0.6 * load) / (RATE * 1.25)
     day = {
         "name": f"bench-{_get(bench, 'kind')}".replace("/", "-"),
         "seconds": seconds,
         "seed": 1,
-        "exchanges": here,
+        "exchanges": exchanges,
         "rate": RATE,
         "traffic_type": types,
-        "groups": {"mean": max(2, round(ratio * erlangs)), "spread": round(spread, 2), "without": round(1 - held / len(sizes), 2)},
+        "groups": {
+            "mean": max(2, round(circuit_ratio * erlangs)),
+            "spread": round(spread, 2),
+            "without": round(1 - group_count / len(sizes), 2),
+        },
         "processor": {
             "setup_ms": round(per_dialog * 0.7, 1),
             "transit_ms": round(per_dialog * 0.4, 1),
             "release_ms": round(per_dialog * 0.1, 1),
-            "turn_away_after_ms": round(_get(fam, "queue") / 1000),
+            "turn_away_after_ms": round(_get(family, "queue") / 1000),
         },
         "callers": {
             "redials": int(_get(clients, "retries")),
@@ -111,39 +118,43 @@
             "add_ms": max(1, round(_get(discovery, "add") / 1000 * scale)),
         },
         "cold": {
-            "from_share": round(float(_get(kind, "cold_from")), 3),
-            "warm_after_ms": round(_get(kind, "cold") / 1000 * scale),
+            "from_share": round(float(_get(machine_kind, "cold_from")), 3),
+            "warm_after_ms": round(_get(machine_kind, "cold") / 1000 * scale),
             "multiple": float(_get(bench, "fall_multiple")),
             "span_ms": _get(bench, "fall_for") / 1000,
         },
-        "release_guard_ms": _get(fam, "release") / 1000,
+        "release_guard_ms": _get(family, "release") / 1000,
         "drain_grace_ms": _get(bench, "drain_grace") / 1000,
         "most_legs": int(_get(bench, "allow", "max_attempts")),
         "tell_peers": bool(_get(bench, "allow", "peers")),
         "longest_hold_off_ms": max(1, _get(clients, "max_retry_after") / 1000),
     }
-    if _get(fam, "advice"):
-        left.append("a centre's advice on tandems: no centre is played")
+    if _get(family, "advice"):
+        remarks.append("a centre's advice on tandems: no centre is played")
     if _get(bench, "tiers")[0].get("report_how") != "none":
-        left.append("reports of processors' load: the decisions don't use them")
-    faults = [fault for trouble in _get(bench, "troubles") if (fault := _fault(trouble, there, scale, seconds, left))]
+        remarks.append("reports of processors' load: the decisions don't use them")
+    faults = [
+        fault for trouble in _get(bench, "troubles") if (fault := _convert_fault(trouble, bench_exchanges, scale, seconds, remarks))
+    ]
     if faults:
         day["fault"] = faults
     return day
 
 
-def _fault(trouble: dict[str, Any], there: int, scale: float, seconds: float, left: list[str]) -> dict[str, Any] | None:
+def _convert_fault(
+    trouble: dict[str, Any], bench_exchanges: int, scale: float, seconds: float, remarks: list[str]
+) -> dict[str, Any] | None:
     kind, size, extra = trouble["kind"], float(trouble["size"]), float(trouble["extra"])
     at = min(trouble["at"] / 1e6 * scale, seconds - 0.5)
     lasts = max(0.3, min(trouble["len"] / 1e6 * scale, seconds - at))
-    struck = trouble.get("on") or []
-    share = round(max(len(struck), 1) / there, 3)
+    targets = trouble.get("on") or []
+    share = round(max(len(targets), 1) / bench_exchanges, 3)
     fault: dict[str, Any] = {"at": round(at, 2), "lasts": round(lasts - 0.01, 2)}
     match kind:
         case "burst":
             return {"kind": "burst", **fault, "factor": round(size, 2)}
         case "hot_caller":
-            return {"kind": "flood", **fault, "share": share, "factor": round(1 + size * there / max(1, len(struck)), 2)}
+            return {"kind": "flood", **fault, "share": share, "factor": round(1 + size * bench_exchanges / max(1, len(targets)), 2)}
         case "slow":
             return {"kind": "slow", **fault, "share": share, "factor": round(size, 2)}
         case "shared_slow":
@@ -151,7 +162,13 @@
         case "ageing":
             return {"kind": "ageing", **fault, "lasts": round(max(0.3, lasts - 2.5), 2), "share": share, "factor": round(size, 2)}
         case "pauses":
-            return {"kind": "pauses", **fault, "share": share, "ms": round(size), "every_ms": round(max(extra * 1000, size + 1))}
+            return {
+                "kind": "pauses",
+                **fault,
+                "share": share,
+                "ms": round(size),
+                "every_ms": round(max(extra * 1000, size + 1)),
+            }
         case "vanish":
             return {"kind": "vanish", **fault, "share": share}
         case "mass_restart":
@@ -161,7 +178,7 @@
                 "kind": "rolling",
                 **fault,
                 "share": round(min(1.0, size * max(1, len(trouble["steps"]))), 3),
-                "batch": max(1, round(size * there)),
+                "batch": max(1, round(size * bench_exchanges)),
             }
         case "answer_lost":
             return {
@@ -180,5 +197,5 @@
             return {"kind": "cut", "at": fault["at"], "share": round(min(1.0, size), 3)}
         case "peer_down":
             return {"kind": "messages-lost", **fault, "factor": 1.0}
-    left.append(f"{kind} at {trouble['at'] / 1e6:.1f} s: nothing of the kind is played")
+    remarks.append(f"{kind} at {trouble['at'] / 1e6:.1f} s: nothing of the kind is played")
     return None
--- a/gingergap/standins/player.py
+++ b/gingergap/standins/player.py
@@ -1,4 +1,6 @@
-"""Plays a scripted day: works out ports and settings, starts a process for each part, kills by script, gathers."""
+"""Plays a scripted day: chooses ports, writes settings, starts a process for each proxy and stand-in, kills and pauses processes
+as the day's faults say, and merges the captures.
+"""
 
 import os
 import secrets
@@ -20,24 +22,27 @@
 from .shared_circuits import SharedCircuits
 
 HOST = "127.0.0.1"
-LEAD = 2.0  # seconds until the day begins, and more for each process that has to come up
+START_DELAY = 2.0  # seconds before the day begins, in addition to those for each process that has to start
 
 
 class DayFailedError(Exception):
-    """The day could not be played; one plain line."""
+    """The day could not be played; the text is one line."""
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports that both transports have free now. The sockets are held until all are found."""
-    held, ports = [], []
+    """`count` ports that are free for both TCP and UDP on the loopback address.
+
+    The sockets stay open until all are found, so that no port is returned twice.
+    """
+    open_sockets, ports = [], []
     try:
         while len(ports) < count:
             stream = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             stream.bind((HOST, 0))
-            held.append(stream)
+            open_sockets.append(stream)
             port = stream.getsockname()[1]
             datagrams = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            held.append(datagrams)
+            open_sockets.append(datagrams)
             try:
                 datagrams.bind((HOST, port))
             except OSError:
@@ -45,70 +50,79 @@
             ports.append(port)
         return ports
     finally:
-        for sock in held:
+        for sock in open_sockets:
             sock.close()
 
 
-def _pair(text: str) -> tuple[str, int]:
+def _parse_address(text: str) -> tuple[str, int]:
     host, _, port = text.partition(":")
     return host, int(port)
 
 
 def format_settings(name: str, /, **parts: Any) -> str:
-    """An S-expression settings text. A dict value is a form within, a list of them several."""
-    return sexpdata.dumps(_sexp(name, parts))
+    """Settings as an S-expression. A dict value becomes a nested form, a list of dicts several forms.
+
+    Underscores in names become dashes, and a trailing one is dropped (for names that are Python keywords or built-ins).
+    """
+    return sexpdata.dumps(_to_expression(name, parts))
 
 
-def _sexp(name: str, parts: dict[str, Any]) -> list[Any]:
-    whole: list[Any] = [sexpdata.Symbol(name)]
+def _to_expression(name: str, parts: dict[str, Any]) -> list[Any]:
+    expression: list[Any] = [sexpdata.Symbol(name)]
     for key, value in parts.items():
         key = key.rstrip("_").replace("_", "-")
         if isinstance(value, dict):
-            whole.append(_sexp(key, value))
+            expression.append(_to_expression(key, value))
         elif isinstance(value, list) and value and isinstance(value[0], dict):
-            whole += [_sexp(key, entry) for entry in value]
+            expression += [_to_expression(key, entry) for entry in value]
         elif isinstance(value, list):
-            whole.append([sexpdata.Symbol(key), *value])
+            expression.append([sexpdata.Symbol(key), *value])
         else:
-            whole.append([sexpdata.Symbol(key), str(value).lower() if isinstance(value, bool) else value])
-    return whole
+            expression.append([sexpdata.Symbol(key), str(value).lower() if isinstance(value, bool) else value])
+    return expression
 
 
 class DayPlayer:
-    """One day in one folder."""
+    """Plays one day, with all its files in one folder."""
 
     def __init__(self, day: DayForm, path: Path, seed: int, folder: Path, stores: Path | None = None) -> None:
-        """`stores` holds a folder `store-N` for each proxy that shall begin with what another day left."""
+        """`stores` may hold a folder `store-N` for each proxy: the store of an earlier day with which it starts."""
         self.day, self.path, self.seed, self.folder = day, path.resolve(), seed, folder.resolve()
         self.plan, self.stores = DayPlan(day, seed), stores
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.logs: list[Any] = []
         count = day.exchanges
         ports = free_ports(6 * count + 1)
-        at = [f"{HOST}:{port}" for port in ports]
-        self.proxies, self.callers = at[:count], at[count : 2 * count]
-        self.exchanges = at[2 * count : 4 * count]
-        self.list_at = at[4 * count]
-        self.members, self.members_at = at[4 * count + 1 : 5 * count + 1], at[5 * count + 1 :]
+        addresses = [f"{HOST}:{port}" for port in ports]
+        self.proxy_addresses, self.caller_addresses = addresses[:count], addresses[count : 2 * count]
+        self.exchange_addresses = addresses[2 * count : 4 * count]
+        self.list_address = addresses[4 * count]
+        self.member_addresses, self.member_listen_addresses = addresses[4 * count + 1 : 5 * count + 1], addresses[5 * count + 1 :]
 
     def play(self) -> None:
-        """Run the day through; leaves `capture.jsonl` and the callers' files in the folder."""
+        """Play the day; writes `capture.jsonl` and the callers' files into the folder.
+
+        Raises DayFailedError if a process does not start, does not finish or ends by itself.
+        """
         self.folder.mkdir(parents=True, exist_ok=True)
         for pattern in ("part-*.jsonl", "callers-*.json", "*.log", "*.sock", "traces/*.trace", "capture.jsonl", "report.json"):
             for old in self.folder.glob(pattern):
                 old.unlink()
         SharedCircuits(self.folder / "circuits", self.day.exchanges, create=True).close()
-        self.epoch = time.monotonic() + LEAD + 0.12 * (3 * self.day.exchanges + 1)
+        self.epoch = time.monotonic() + START_DELAY + 0.12 * (3 * self.day.exchanges + 1)
         capture = Capture(self.folder / "part-player.jsonl")
         relay = (
             DatagramRelay(
-                [_pair(text) for text in self.members_at], [_pair(text) for text in self.members], self._split, seed=self.seed
+                [_parse_address(text) for text in self.member_listen_addresses],
+                [_parse_address(text) for text in self.member_addresses],
+                self._is_split,
+                seed=self.seed,
             )
             if self.day.coordination
             else None
         )
         try:
-            self._notes(capture)
+            self._write_notes(capture)
             self._write_settings()
             self._start("list", "standin", "list", "--settings", "list.sexp")
             for number in range(self.day.exchanges):
@@ -116,13 +130,13 @@
             for number in range(self.day.exchanges):
                 self._start(f"edge-{number}", "edge", "run", "--settings", f"edge-{number}.sexp")
                 self._start(f"callers-{number}", "standin", "caller", "--settings", f"callers-{number}.sexp")
-            self._await_edges()
-            self._strike(capture)
+            self._await_proxies()
+            self._apply_process_faults(capture)
             self._finish()
         finally:
             for process in self.processes.values():
                 if process.poll() is None:
-                    process.kill()  # also one that is stopped
+                    process.kill()  # also ends a paused process
                 process.wait()
             for log in self.logs:
                 log.close()
@@ -131,17 +145,17 @@
             capture.close()
         self._gather()
 
-    def _split(self, source: int, target: int) -> bool:
-        """Whether a fault parts two proxies now; calls between their exchanges are not touched."""
+    def _is_split(self, source: int, target: int) -> bool:
+        """Whether a fault separates the coordination of two proxies now; calls between their exchanges are not affected."""
         now = time.monotonic() - self.epoch
         return any(
-            strike.fault.kind == "split-proxies"
-            and strike.is_active(now)
-            and (source in strike.targets) != (target in strike.targets)
-            for strike in self.plan.scheduled_faults
+            scheduled.fault.kind == "split-proxies"
+            and scheduled.is_active(now)
+            and (source in scheduled.targets) != (target in scheduled.targets)
+            for scheduled in self.plan.scheduled_faults
         )
 
-    def _notes(self, capture: Capture) -> None:
+    def _write_notes(self, capture: Capture) -> None:
         capture.note(
             "rules",
             guard=self.day.release_guard_ms / 1000,
@@ -149,19 +163,24 @@
             multiple=self.day.cold.multiple,
             span=self.day.cold.span_ms / 1000,
         )
-        capture.note("list", address=self.list_at)
-        for number, address in enumerate(self.proxies):
+        capture.note("list", address=self.list_address)
+        for number, address in enumerate(self.proxy_addresses):
             capture.note("proxy", number=number, address=address)
 
     def _write_settings(self) -> None:
-        places = {"proxy": self.proxies, "exchange": self.exchanges, "callers": self.callers, "exchange_list": self.list_at}
+        addresses = {
+            "proxy": self.proxy_addresses,
+            "exchange": self.exchange_addresses,
+            "callers": self.caller_addresses,
+            "exchange_list": self.list_address,
+        }
         for number in range(self.day.exchanges):
             for part in ("exchange", "callers"):
-                self._standin(f"{part}-{number}.sexp", number, places)
-            self._edge(number)
-        self._standin("list.sexp", 0, places)
+                self._write_standin_settings(f"{part}-{number}.sexp", number, addresses)
+            self._write_edge_settings(number)
+        self._write_standin_settings("list.sexp", 0, addresses)
 
-    def _standin(self, name: str, number: int, places: dict[str, Any]) -> None:
+    def _write_standin_settings(self, name: str, number: int, addresses: dict[str, Any]) -> None:
         (self.folder / name).write_text(
             format_settings(
                 "standin",
@@ -170,42 +189,42 @@
                 seed=self.seed,
                 epoch=self.epoch,
                 report=str(self.folder),
-                places=places,
+                places=addresses,
             )
         )
 
-    def _edge(self, number: int) -> None:
+    def _write_edge_settings(self, number: int) -> None:
         day, cold = self.day, self.day.cold
-        more: dict[str, Any] = {}
+        optional: dict[str, Any] = {}
         if day.store:
-            own = self.folder / f"store-{number}"
-            shutil.rmtree(own, ignore_errors=True)
-            if self.stores is not None and (self.stores / own.name).is_dir():
-                shutil.copytree(self.stores / own.name, own)
-            more["store"] = {"folder": f"store-{number}", "learn_every_ms": 1_000}
+            own_store = self.folder / f"store-{number}"
+            shutil.rmtree(own_store, ignore_errors=True)
+            if self.stores is not None and (self.stores / own_store.name).is_dir():
+                shutil.copytree(self.stores / own_store.name, own_store)
+            optional["store"] = {"folder": f"store-{number}", "learn_every_ms": 1_000}
         if day.coordination:
-            more["coordination"] = {
+            optional["coordination"] = {
                 "key": f"the key of a day with seed {self.seed}",
                 "period_ms": 300,
                 "lease_ms": 1_500,
                 "probe_every_ms": 1_000,
                 "probe_limit_ms": 6_000,
                 "member": [
-                    {"name": f"p{other}", "address": address, "listen": self.members_at[other]}
-                    for other, address in enumerate(self.members)
+                    {"name": f"p{other}", "address": address, "listen": self.member_listen_addresses[other]}
+                    for other, address in enumerate(self.member_addresses)
                 ],
             }
         (self.folder / f"edge-{number}.sexp").write_text(
             format_settings(
                 "edge",
                 name=f"p{number}",
-                listen=self.proxies[number],
+                listen=self.proxy_addresses[number],
                 domain="day.invalid",
                 here=number,
                 seed=self.seed * 1000 + number,
-                exchange_list=self.list_at,
+                exchange_list=self.list_address,
                 exchange=[
-                    {"number": other, "id": f"x{other}", "address": self.exchanges[2 * other], "prefix": [f"0{other:02d}"]}
+                    {"number": other, "id": f"x{other}", "address": self.exchange_addresses[2 * other], "prefix": [f"0{other:02d}"]}
                     for other in range(day.exchanges)
                 ],
                 traffic_type=[entry.model_dump(exclude={"share", "hold_s", "patience_s"}) for entry in day.traffic_type],
@@ -219,15 +238,15 @@
                 log_level="info",
                 control=f"edge-{number}.sock",
                 trace={"folder": "traces"},
-                **more,
+                **optional,
             )
         )
 
-    def _start(self, name: str, *words: str) -> None:
+    def _start(self, name: str, *arguments: str) -> None:
         log = (self.folder / f"{name}.log").open("ab")
         self.logs.append(log)
         self.processes[name] = subprocess.Popen(
-            [sys.executable, "-m", "gingergap", *words],
+            [sys.executable, "-m", "gingergap", *arguments],
             cwd=self.folder,
             stdin=subprocess.DEVNULL,
             stdout=log,
@@ -235,14 +254,14 @@
             env={**os.environ, "PYTHONPATH": os.pathsep.join(sys.path)},
         )
 
-    def _await_edges(self) -> None:
-        """Every proxy answers OPTIONS before the day begins."""
+    def _await_proxies(self) -> None:
+        """Wait until every proxy has answered OPTIONS. Raises DayFailedError if one has not when the day begins."""
         probe = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         probe.bind((HOST, 0))
         probe.settimeout(0.1)
         own = f"{HOST}:{probe.getsockname()[1]}"
         try:
-            for number, address in enumerate(self.proxies):
+            for number, address in enumerate(self.proxy_addresses):
                 host, _, port = address.partition(":")
                 while True:
                     text = (
@@ -261,42 +280,46 @@
         finally:
             probe.close()
 
-    def _strike(self, capture: Capture) -> None:
-        """Kill and restart by script, until the day is over."""
-        acts: list[tuple[float, str, str]] = []
+    def _apply_process_faults(self, capture: Capture) -> None:
+        """Kill, restart, pause and resume processes as the day's faults say."""
+        actions: list[tuple[float, str, str]] = []
         paused: dict[str, float] = {}
-        for strike in self.plan.scheduled_faults:
-            kind = {"kill-proxy": "edge", "kill-exchange": "exchange", "pause-proxy": "edge"}.get(strike.fault.kind)
+        for scheduled in self.plan.scheduled_faults:
+            kind = {"kill-proxy": "edge", "kill-exchange": "exchange", "pause-proxy": "edge"}.get(scheduled.fault.kind)
             if kind is not None:
-                pauses = strike.fault.kind == "pause-proxy"
-                for number in sorted(strike.targets):
-                    acts.append((strike.fault.at, "pause" if pauses else "kill", f"{kind}-{number}"))
-                    acts.append((strike.fault.at + strike.fault.lasts, "wake" if pauses else "start", f"{kind}-{number}"))
-        for at, act, name in sorted(acts):
+                is_pause = scheduled.fault.kind == "pause-proxy"
+                for number in sorted(scheduled.targets):
+                    actions.append((scheduled.fault.at, "pause" if is_pause else "kill", f"{kind}-{number}"))
+                    actions.append(
+                        (scheduled.fault.at + scheduled.fault.lasts, "wake" if is_pause else "start", f"{kind}-{number}")
+                    )
+        for at, action, name in sorted(actions):
             time.sleep(max(0.0, self.epoch + at - time.monotonic()))
             kind, _, number = name.partition("-")
             process = self.processes[name]
-            if act == "kill" and process.poll() is None:
+            if action == "kill" and process.poll() is None:
                 process.send_signal(signal.SIGKILL)
                 process.wait()
                 paused.pop(name, None)
                 if kind == "edge":
-                    capture.note("killed", address=self.proxies[int(number)])
+                    capture.note("killed", address=self.proxy_addresses[int(number)])
                 else:
-                    for address in self.exchanges[2 * int(number) : 2 * int(number) + 2]:
+                    for address in self.exchange_addresses[2 * int(number) : 2 * int(number) + 2]:
                         capture.note("stopped", number=int(number), address=address)
-            elif act == "pause" and process.poll() is None:
+            elif action == "pause" and process.poll() is None:
                 process.send_signal(signal.SIGSTOP)
                 paused[name] = time.monotonic()
-            elif act == "wake" and name in paused and process.poll() is None:
-                capture.note("paused", paused.pop(name), address=self.proxies[int(number)], until=round(time.monotonic(), 5))
+            elif action == "wake" and name in paused and process.poll() is None:
+                capture.note(
+                    "paused", paused.pop(name), address=self.proxy_addresses[int(number)], until=round(time.monotonic(), 5)
+                )
                 process.send_signal(signal.SIGCONT)
-            elif act == "start" and process.poll() is not None:
-                words = ("edge", "run") if kind == "edge" else ("standin", "exchange")
-                self._start(name, *words, "--settings", f"{name}.sexp")
+            elif action == "start" and process.poll() is not None:
+                arguments = ("edge", "run") if kind == "edge" else ("standin", "exchange")
+                self._start(name, *arguments, "--settings", f"{name}.sexp")
 
     def _finish(self) -> None:
-        """Callers end by themselves; then the proxies drain and the rest is stopped."""
+        """Wait until the callers have ended, then drain the proxies; `play` kills the other processes."""
         longest = max(entry.patience_s for entry in self.day.traffic_type)
         limit = self.epoch + self.day.seconds + longest + 15
         for number in range(self.day.exchanges):
@@ -317,7 +340,7 @@
                 raise DayFailedError(f"{name} drained with exit code {code}; see {name}.log")
 
     def _gather(self) -> None:
-        """All parts in one file in time order."""
+        """Merge the captures of all processes into `capture.jsonl`, in time order."""
         lines = []
         for path in sorted(self.folder.glob("part-*.jsonl")):
             for text in path.read_text(encoding="utf-8").splitlines():
--- a/gingergap/standins/report.py
+++ b/gingergap/standins/report.py
@@ -1,4 +1,4 @@
-"""What a day came to: service by traffic type, declines, set-up times, and how long proxies took over a dialog."""
+"""The report of a day: service by traffic type, final answers, set-up times, the delay that proxies add, and breaches of rules."""
 
 import json
 from pathlib import Path
@@ -12,19 +12,19 @@
 from .caller import Offer
 from .checker import Verdict
 
-PERCENTILES = (50.0, 90.0, 99.0)
+PERCENTILES = (50.0, 90.0, 99.0)  # per cent
 
 
 def percentiles(values: list[float]) -> dict[str, float]:
-    """`p50`, `p90`, `p99` of seconds, in ms."""
+    """`p50`, `p90` and `p99` in ms of durations in seconds; empty if there are none."""
     histogram = HdrHistogram(1, 60_000_000, 3)
     for value in values:
         histogram.record_value(max(1, int(value * 1e6)))
     return {f"p{share:g}": round(histogram.get_value_at_percentile(share) / 1000, 2) for share in PERCENTILES} if values else {}
 
 
-def service(offers: list[Offer]) -> dict[str, Any]:
-    """Importance that stood in time and was not cut, over importance offered; the same by traffic type."""
+def measure_service(offers: list[Offer]) -> dict[str, Any]:
+    """Importance of the dialogs established in time and not cut, over the importance offered; in all and by traffic type."""
     by_type: dict[str, dict[str, Any]] = {}
     for offer in offers:
         row = by_type.setdefault(
@@ -38,25 +38,28 @@
         if offer.in_time and not offer.cut:
             row["stood_in_time"] += 1
             row["earned"] += offer.importance
-    worth = sum(row["worth"] for row in by_type.values())
-    earned = sum(row["earned"] for row in by_type.values())
+    offered_importance = sum(row["worth"] for row in by_type.values())
+    earned_importance = sum(row["earned"] for row in by_type.values())
     for row in by_type.values():
         row["service"] = round(row["earned"] / row["worth"], 4)
     return {
         "offered": len(offers),
         "stood_in_time": sum(row["stood_in_time"] for row in by_type.values()),
-        "service": round(earned / worth, 4) if worth else 0.0,
+        "service": round(earned_importance / offered_importance, 4) if offered_importance else 0.0,
         "by_type": by_type,
     }
 
 
 def measure_capture(path: Path) -> dict[str, Any]:
-    """Added delay of first legs and final answers by status, as seen at the sockets of callers and exchanges."""
+    """Measurements from a capture: messages, final answers by status, and the added delay.
+
+    The added delay is the time from a dialog's first INVITE to its first leg, as seen at the sockets of callers and exchanges.
+    """
     proxies: set[str] = set()
-    came: dict[tuple[str, str], float] = {}
-    added: list[float] = []
+    received_at: dict[tuple[str, str], float] = {}
+    added_delays: list[float] = []
     finals: dict[str, int] = {}
-    counted: set[tuple[str, str]] = set()
+    seen_answers: set[tuple[str, str]] = set()
     messages = 0
     with path.open(encoding="utf-8") as file:
         for text in file:
@@ -77,25 +80,28 @@
             if message.method == "INVITE" and not tag_of(message.get("To")):
                 sender = f"{via.host}:{via.port}"
                 if line["to"] in proxies:
-                    came.setdefault((line["to"], *call), line["at"] + line.get("late_by", 0.0))
-                elif sender in proxies and (sender, *call) in came:
-                    added.append(max(0.0, line["at"] - came[sender, *call]))
-                    came[sender, *call] = float("inf")
+                    received_at.setdefault((line["to"], *call), line["at"] + line.get("late_by", 0.0))
+                elif sender in proxies and (sender, *call) in received_at:
+                    added_delays.append(max(0.0, line["at"] - received_at[sender, *call]))
+                    received_at[sender, *call] = float("inf")
             elif message.status >= 200 and line["from"] in proxies and message.cseq()[1] == "INVITE":
                 key = line["from"], via.branch
-                if key not in counted:
-                    counted.add(key)
+                if key not in seen_answers:
+                    seen_answers.add(key)
                     finals[str(message.status)] = finals.get(str(message.status), 0) + 1
     return {
         "messages": messages,
-        "added_delay_ms": percentiles([gap for gap in added if gap < 60]),
+        "added_delay_ms": percentiles([delay for delay in added_delays if delay < 60]),
         "final_answers": dict(sorted(finals.items())),
     }
 
 
-def duties(path: Path) -> dict[str, Any]:
-    """Probes under leases as the exchanges saw them: how many were admitted and refused, by whom, the longest gap in
-    seconds, and whether a token ever went back. Empty where none came."""
+def lease_probes(path: Path) -> dict[str, Any]:
+    """Probes sent under a lease, by exchange, as the exchanges saw them; empty if there were none.
+
+    Counts those admitted (in all and by proxy) and refused, the longest gap between two in seconds, and how often the fencing
+    token went back.
+    """
     rows: dict[str, dict[str, Any]] = {}
     last: dict[str, tuple[float, tuple[int, str]]] = {}
     with path.open(encoding="utf-8") as file:
@@ -111,17 +117,18 @@
                 continue
             token = line["counter"], line["holder"]
             if line["exchange"] in last:
-                before, newest = last[line["exchange"]]
-                row["longest_gap_s"] = round(max(row["longest_gap_s"], line["at"] - before), 3)
-                row["went_back"] += token < newest
+                last_at, last_token = last[line["exchange"]]
+                row["longest_gap_s"] = round(max(row["longest_gap_s"], line["at"] - last_at), 3)
+                row["went_back"] += token < last_token
             last[line["exchange"]] = line["at"], token
             row["admitted"] += 1
-            who = line["holder"].partition("/")[0]
-            row["by"][who] = row["by"].get(who, 0) + 1
+            holder = line["holder"].partition("/")[0]
+            row["by"][holder] = row["by"].get(holder, 0) + 1
     return {name: rows[name] for name in sorted(rows)}
 
 
-def rules(verdict: Verdict) -> dict[str, Any]:
+def rules_section(verdict: Verdict) -> dict[str, Any]:
+    """The part of the report on the rules."""
     return {
         "rules": {str(rule): {"judged": verdict.judged[rule], "broken": verdict.broken[rule]} for rule in verdict.judged},
         "excused_by_kills": verdict.excused,
@@ -131,17 +138,18 @@
 
 
 def day_report(folder: Path, verdict: Verdict, offers: list[Offer]) -> dict[str, Any]:
-    """The report of a day, as `report.json` has it."""
+    """The report of a day, in the form of `report.json`."""
     return {
-        **rules(verdict),
-        **service(offers),
+        **rules_section(verdict),
+        **measure_service(offers),
         "setup_ms": percentiles([offer.took for offer in offers if offer.stood >= 0]),
         **measure_capture(folder / "capture.jsonl"),
-        "duties": duties(folder / "capture.jsonl"),
+        "duties": lease_probes(folder / "capture.jsonl"),
     }
 
 
 def read_offers(folder: Path) -> list[Offer]:
+    """The dialogs that the callers of a day wrote into its folder."""
     offers: list[Offer] = []
     for path in sorted(folder.glob("callers-*.json")):
         offers += msgspec.json.decode(path.read_bytes(), type=list[Offer])
