--- a/gingergap/standins/notifier.py
+++ b/gingergap/standins/notifier.py
@@ -1,4 +1,4 @@
-"""The notifier's half of RFC 6665, for the exchange list and the exchanges: who has subscribed, and versions."""
+"""The notifier of an event package (RFC 6665), for the exchange list and the exchanges: subscriptions and state versions."""
 
 import secrets
 
@@ -9,78 +9,85 @@
 from ..sip.message import BadMessageError, Message, response
 from ..sip.transactions import MAGIC, Client, Server, Transactions
 
-SECOND = 10_000
+SECOND = 10_000  # in the transactions' time unit, 0.1 ms
 
 
 class Subscription:
-    __slots__ = ("dialog", "ends", "key", "started")
+    """One subscriber's dialog. `expires_at` is in units of 0.1 ms; `key` is the Call-ID."""
 
-    def __init__(self, dialog: SipDialog, ends: int, key: str) -> None:
-        self.dialog, self.ends, self.key = dialog, ends, key
+    __slots__ = ("dialog", "expires_at", "key", "started")
+
+    def __init__(self, dialog: SipDialog, expires_at: int, key: str) -> None:
+        self.dialog, self.expires_at, self.key = dialog, expires_at, key
 
 
 class Notifier:
-    """One event package. `field` names the list in the body; lines are kept by key."""
+    """The notifier of one event package.
+
+    The state is a list of entries, each a JSON object, kept by key. `list_field` names the list in the body of a NOTIFY; every body
+    also has `version`, `state` (full or partial) and `epoch`, which differs after a restart. Times are in units of 0.1 ms.
+    """
 
-    def __init__(self, transactions: Transactions, event: str, field: str, contact: str, longest: int = 3600) -> None:
-        self.transactions, self.event, self.field, self.contact = transactions, event, field, contact
-        self.longest = longest
+    def __init__(self, transactions: Transactions, event: str, list_field: str, contact: str, max_expires: int = 3600) -> None:
+        self.transactions, self.event, self.list_field, self.contact = transactions, event, list_field, contact
+        self.max_expires = max_expires
         self.epoch = secrets.token_hex(4)
         self.version = 0
-        self.lines: dict[object, dict[str, object]] = {}
+        self.entries: dict[object, dict[str, object]] = {}
         self.subscriptions: dict[str, Subscription] = {}
 
     def subscribe(self, now: int, server: Server, message: Message) -> None:
-        """A SUBSCRIBE, the first or one that refreshes: answered, and the full state sent at once."""
+        """Answer an initial or refreshing SUBSCRIBE and send the full state at once."""
         try:
-            lasts = min(seconds_of(message, "Expires", self.longest), self.longest)
+            expires = min(seconds_of(message, "Expires", self.max_expires), self.max_expires)
             subscription = self.subscriptions.get(message.call_id)
             tag = secrets.token_hex(4)
             if ";tag=" in message.get("To"):
                 if subscription is None:
                     self.transactions.respond(now, server, response(message, 481))
                     return
-                subscription.ends = now + lasts * SECOND
+                subscription.expires_at = now + expires * SECOND
             else:
-                subscription = Subscription(SipDialog.of_uas(message, tag), now + lasts * SECOND, message.call_id)
+                subscription = Subscription(SipDialog.of_uas(message, tag), now + expires * SECOND, message.call_id)
         except BadMessageError as bad:
             self.transactions.respond(now, server, response(message, bad.status or 400))
             return
         self.transactions.respond(
-            now, server, response(message, 200, tag, [("Expires", str(lasts)), ("Contact", f"<{self.contact}>")])
+            now, server, response(message, 200, tag, [("Expires", str(expires)), ("Contact", f"<{self.contact}>")])
         )
         self.subscriptions[message.call_id] = subscription
-        self._notify(now, subscription, "full", list(self.lines.values()))
-        if lasts == 0:
+        self._notify(now, subscription, "full", list(self.entries.values()))
+        if expires == 0:
             del self.subscriptions[message.call_id]
 
-    def changed(self, now: int, lines: dict[object, dict[str, object]]) -> None:
-        """Some lines are new or others; told to all as a change."""
-        self.lines.update(lines)
+    def update(self, now: int, entries: dict[object, dict[str, object]]) -> None:
+        """Add or replace entries and send them to all subscribers as a partial state."""
+        self.entries.update(entries)
         self.version += 1
         for subscription in list(self.subscriptions.values()):
-            if subscription.ends <= now:
+            if subscription.expires_at <= now:
                 del self.subscriptions[subscription.key]
             else:
-                self._notify(now, subscription, "partial", list(lines.values()))
+                self._notify(now, subscription, "partial", list(entries.values()))
 
-    def lost(self, client: Client) -> None:
-        """A NOTIFY that nobody answered ends its subscription."""
+    def notify_failed(self, client: Client) -> None:
+        """End the subscription of a NOTIFY that got no response."""
         if isinstance(client.owner, Subscription):
             self.subscriptions.pop(client.owner.key, None)
 
-    def answered(self, client: Client, message: Message) -> None:
+    def notify_answered(self, client: Client, message: Message) -> None:
+        """End the subscription of a NOTIFY that was refused."""
         if isinstance(client.owner, Subscription) and message.status >= 300:
             self.subscriptions.pop(client.owner.key, None)
 
-    def _notify(self, now: int, subscription: Subscription, state: str, lines: list[dict[str, object]]) -> None:
+    def _notify(self, now: int, subscription: Subscription, state: str, entries: list[dict[str, object]]) -> None:
         message = subscription.dialog.request("NOTIFY")
-        left = max(0, subscription.ends - now) // SECOND
+        remaining = max(0, subscription.expires_at - now) // SECOND
         message.fields += [
             ("Event", self.event),
             ("Contact", f"<{self.contact}>"),
-            ("Subscription-State", f"active;expires={left}" if left else "terminated"),
+            ("Subscription-State", f"active;expires={remaining}" if remaining else "terminated"),
             ("Content-Type", "application/json"),
         ]
-        message.body = msgspec.json.encode({"version": self.version, "state": state, "epoch": self.epoch, self.field: lines})
+        message.body = msgspec.json.encode({"version": self.version, "state": state, "epoch": self.epoch, self.list_field: entries})
         self.transactions.request(now, message, next_hop(message), MAGIC + secrets.token_hex(8), subscription)
--- a/gingergap/standins/sip_element.py
+++ b/gingergap/standins/sip_element.py
@@ -1,4 +1,4 @@
-"""What all stand-ins share of a SIP element: sockets joined to transactions, and silence where nothing is to be done."""
+"""Base class of the stand-ins: a SIP element with sockets and transactions that ignores every event it does not handle."""
 
 import time
 
@@ -10,14 +10,17 @@
 from .capture import FaultInjector
 
 
-def units() -> int:
-    """Now, in tenths of a millisecond of the monotonic clock."""
+def current_units() -> int:
+    """The monotonic clock in the time unit of the transactions, 0.1 ms."""
     return time.monotonic_ns() // 100_000
 
 
-class Element:
-    """Owner of its sockets and user of its transactions; stand-ins override what they answer to. `epoch` is when the
-    day began, in seconds of the monotonic clock."""
+class SipElement:
+    """A SIP element; the stand-ins override the event methods that they handle.
+
+    `epoch` is the beginning of the day, in seconds of the monotonic clock. Malformed requests are refused with the status of the
+    BadMessageError that they raise, new requests beyond the transactions' limit with 503.
+    """
 
     def __init__(self, address: tuple[str, int], epoch: float, gate: FaultInjector) -> None:
         self.address, self.epoch = address, epoch
@@ -25,29 +28,30 @@
         self.transactions = Transactions(self, self.sockets, address)
 
     def now(self) -> float:
-        """Seconds of the day."""
+        """Seconds since the day began."""
         return time.monotonic() - self.epoch
 
-    def tick(self) -> None:
+    def run_timers(self) -> None:
+        """Fire the timers of the transactions every 10 ms, for ever."""
         while True:
             gevent.sleep(0.01)
-            self.transactions.due(units())
+            self.transactions.due(current_units())
 
     def got(self, message: Message, hop: Hop) -> None:
         try:
-            self.take(message, hop)
+            self.handle_message(message, hop)
         except BadMessageError as bad:
             if message.method and bad.status:
                 self.transactions.stateless(message, bad.status, "bad", hop)
 
-    def take(self, message: Message, hop: Hop) -> None:
-        self.transactions.received(units(), message, hop)
+    def handle_message(self, message: Message, hop: Hop) -> None:
+        self.transactions.received(current_units(), message, hop)
 
     def got_bad(self, bad: BadMessageError, hop: Hop) -> None:
         pass
 
     def hop_failed(self, hop: Hop, reset: bool) -> None:
-        self.transactions.hop_failed(units(), hop, reset)
+        self.transactions.hop_failed(current_units(), hop, reset)
 
     def request_came(self, now: int, server: Server, message: Message) -> None:
         pass
@@ -64,7 +68,7 @@
     def stray_response(self, now: int, message: Message) -> None:
         pass
 
-    def client_lost(self, now: int, client: Client, how: Lost) -> None:
+    def client_lost(self, now: int, client: Client, failure: Lost) -> None:
         pass
 
     def server_lost(self, now: int, server: Server) -> None:
