--- a/tests/test_checker.py
+++ b/tests/test_checker.py
@@ -1,4 +1,4 @@
-"""The rule checker on small captures: whole ones pass, and one changed line breaks just the rule that it should."""
+"""The rule checker on small captures: valid ones pass, and each change of one line breaks exactly the rule that it should."""
 
 import json
 
@@ -46,22 +46,22 @@
     return message(at, source, PROXY, f"SIP/2.0 {status} Word", branch, call, to_tag="f", via=PROXY)
 
 
-def told(at, lines, state="partial"):
+def notification(at, lines, state="partial"):
     body = msgspec.json.encode(
         {
             "version": 1,
             "state": state,
             "epoch": "e",
             "exchanges": [
-                {"id": name, "number": 1, "state": word, "started": started, "address": address}
-                for name, word, started, address in lines
+                {"id": name, "number": 1, "state": listed_state, "started": started, "address": address}
+                for name, listed_state, started, address in lines
             ],
         }
     ).decode()
     return message(at, LIST, PROXY, "NOTIFY sip:p SIP/2.0", f"z9hG4bKn{at}", "sub", "1 NOTIFY", body=body)
 
 
-def start(at, name="x2", address=X2):
+def exchange_start(at, name="x2", address=X2):
     return {
         "at": at,
         "note": "exchange",
@@ -82,8 +82,9 @@
 ]
 
 
-def day():
-    """A dialog that stands over a second leg after a cancelled one, one declined, a drain kept, a cold start spared."""
+def valid_capture():
+    """Capture without a breach: a dialog established over its second leg after a cancelled first one, a declined dialog, a drained
+    exchange that gets no new legs, and a cold start just below the limit of set-ups."""
     lines = [
         *NOTES,
         invite(1.0),
@@ -96,16 +97,16 @@
         final(1.81, 200),
         invite(2.0, "c2"),
         final(2.5, 503, "c2"),
-        told(3.0, [("x1", "draining", 0.0, X1)]),
-        start(4.0),
-        told(4.5, [("x2", "ready", 99.0, X2)]),
+        notification(3.0, [("x1", "draining", 0.0, X1)]),
+        exchange_start(4.0),
+        notification(4.5, [("x2", "ready", 99.0, X2)]),
     ]
-    for place in range(19):  # 2.5 x 10 x 0.4 x 2 s = 20
-        at, call = 5 + place / 20, f"cold{place}"
+    for index in range(19):  # limit: 2.5 x 10 x 0.4 x 2 s = 20
+        at, call = 5 + index / 20, f"cold{index}"
         lines += [
             invite(at, call),
-            leg(at + 0.01, f"z9hG4bKm{place}", X2, call),
-            leg_answer(at + 0.02, 200, f"z9hG4bKm{place}", X2, call),
+            leg(at + 0.01, f"z9hG4bKm{index}", X2, call),
+            leg_answer(at + 0.02, 200, f"z9hG4bKm{index}", X2, call),
             final(at + 0.03, 200, call),
         ]
     lines += [invite(7.5, "last"), final(7.6, 503, "last"), {"at": 20.0, "note": "end"}]
@@ -118,30 +119,30 @@
     return check(path)
 
 
-def test_a_whole_capture_passes_and_says_on_what(tmp_path):
-    verdict = judge(tmp_path, day())
+def test_valid_capture_passes_with_the_number_of_judged_cases(tmp_path):
+    verdict = judge(tmp_path, valid_capture())
     assert verdict.passed and not verdict.breaches
     assert verdict.judged == {1: 22, 2: 21, 3: 1, 4: 1, 5: 1}
 
 
-def without(lines, text, at):
+def without_message(lines, text, at):
     return [line for line in lines if not (line["at"] == at and text in line.get("message", ""))]
 
 
 @pytest.mark.parametrize(
     ("rule", "change"),
     [
-        (1, lambda lines: without(lines, "SIP/2.0 503", 2.5)),
+        (1, lambda lines: without_message(lines, "SIP/2.0 503", 2.5)),
         (1, lambda lines: [*lines, final(2.6, 486, "c2")]),
         (1, lambda lines: [*lines, final(1.9, 200, tag="other")]),
-        (1, lambda lines: [*without(lines, "SIP/2.0 503", 2.5), final(5.1, 503, "c2")]),
+        (1, lambda lines: [*without_message(lines, "SIP/2.0 503", 2.5), final(5.1, 503, "c2")]),
         (1, lambda lines: [*lines, leg(2.6, "z9hG4bKafter", X1, "c2")]),
         (1, lambda lines: [*lines, message(2.1, CALLERS, PROXY, "CANCEL sip:001@h SIP/2.0", "z9hG4bKc2", "c2", "1 CANCEL")]),
         (
             2,
             lambda lines: (
-                without(lines, "SIP/2.0 487", 1.52)
-                and [line for line in without(lines, "SIP/2.0 487", 1.52) if "CANCEL" not in line.get("message", "")]
+                without_message(lines, "SIP/2.0 487", 1.52)
+                and [line for line in without_message(lines, "SIP/2.0 487", 1.52) if "CANCEL" not in line.get("message", "")]
             ),
         ),
         (2, lambda lines: [line for line in [*lines, leg(1.75, "z9hG4bKl1")]]),
@@ -179,14 +180,14 @@
         ),
     ],
 )
-def test_one_change_breaks_its_rule(tmp_path, rule, change):
-    verdict = judge(tmp_path, change(day()))
+def test_one_changed_line_breaks_one_rule(tmp_path, rule, change):
+    verdict = judge(tmp_path, change(valid_capture()))
     broken = {number for number, count in verdict.broken.items() if count}
     assert broken == {rule}
     assert verdict.breaches[0].lines and not verdict.passed
 
 
-def test_a_leg_of_which_nothing_was_heard_must_have_been_silent_for_the_guard(tmp_path):
+def test_unanswered_leg_must_be_silent_for_the_release_guard(tmp_path):
     for gap, broken in ((0.3, 0), (0.1, 1)):
         verdict = judge(
             tmp_path,
@@ -203,7 +204,7 @@
         assert (verdict.judged[5], verdict.broken[5]) == (1, broken)
 
 
-def test_a_leg_on_a_dropped_connection_is_over_and_in_doubt(tmp_path):
+def test_dropped_connection_ends_a_leg_in_doubt(tmp_path):
     def over_tcp(line):
         return dict(line, message=line["message"].replace("SIP/2.0/UDP 127.0.0.1:7000", "SIP/2.0/TCP 127.0.0.1:7000"))
 
@@ -223,12 +224,12 @@
         datagrams = [
             line if "message" not in line else dict(line, message=line["message"].replace("/TCP", "/UDP")) for line in lines
         ]
-        assert judge(tmp_path, datagrams).broken[2] == 1  # the drop was nothing to it: it was still out
+        assert judge(tmp_path, datagrams).broken[2] == 1  # a drop does not end a leg over UDP, so it was still out
 
 
-# Guards against a check that takes a drop for the end of a leg although the next leg had come before it.
+# Guards against a checker that takes a drop for the end of a leg although the next leg was sent before the drop.
 @pytest.mark.parametrize(("reset_at", "broken"), [(1.49, 1), (1.52, 0)])
-def test_a_drop_after_the_next_leg_did_not_end_the_one_before(tmp_path, reset_at, broken):
+def test_drop_after_the_next_leg_does_not_end_the_previous_one(tmp_path, reset_at, broken):
     def over_tcp(line):
         return dict(line, message=line["message"].replace("SIP/2.0/UDP 127.0.0.1:7000", "SIP/2.0/TCP 127.0.0.1:7000"))
 
@@ -245,7 +246,7 @@
     assert judge(tmp_path, lines).broken[5] == broken
 
 
-def test_what_was_sent_on_a_connection_being_dropped_ended_with_it(tmp_path):
+def test_leg_sent_during_a_drop_ends_with_the_connection(tmp_path):
     def over_tcp(line):
         return dict(line, message=line["message"].replace("SIP/2.0/UDP 127.0.0.1:7000", "SIP/2.0/TCP 127.0.0.1:7000"))
 
@@ -263,10 +264,10 @@
     assert verdict.judged[5] == 1 and not any(verdict.broken.values())
 
 
-def test_what_the_network_lost_was_not_told(tmp_path):
+def test_lost_notification_does_not_count(tmp_path):
     lines = [
         *NOTES,
-        dict(told(1.0, [("x1", "gone", 0.0, X1)]), lost=True),
+        dict(notification(1.0, [("x1", "gone", 0.0, X1)]), lost=True),
         invite(4.0),
         leg(4.1, "z9hG4bKa"),
         leg_answer(4.2, 200, "z9hG4bKa"),
@@ -275,7 +276,7 @@
     assert judge(tmp_path, lines).passed
 
 
-def test_what_a_killed_proxy_held_is_its_duty_no_more(tmp_path):
+def test_dialogs_of_a_killed_proxy_are_excused(tmp_path):
     lines = [
         *NOTES,
         invite(1.0),
@@ -290,21 +291,21 @@
     assert verdict.excused == 1 and not any(verdict.broken.values())
 
 
-def test_a_flood_of_those_who_did_not_know_is_no_break(tmp_path):
-    lines = [line for line in day() if line["at"] != 4.5]
-    for place in range(10):
-        at, call = 5.96 + place / 200, f"unknown{place}"
+def test_set_ups_from_proxies_not_told_of_a_cold_start_are_no_breach(tmp_path):
+    lines = [line for line in valid_capture() if line["at"] != 4.5]
+    for index in range(10):
+        at, call = 5.96 + index / 200, f"unknown{index}"
         lines += [
             invite(at, call),
-            leg(at, f"z9hG4bKu{place}", X2, call),
-            leg_answer(at, 200, f"z9hG4bKu{place}", X2, call),
+            leg(at, f"z9hG4bKu{index}", X2, call),
+            leg_answer(at, 200, f"z9hG4bKu{index}", X2, call),
             final(at, 200, call),
         ]
     assert judge(tmp_path, lines).broken[4] == 0
 
 
 @pytest.mark.parametrize(
-    ("text", "word"),
+    ("text", "expected"),
     [
         ("", "rules"),
         ("{", "line 1"),
@@ -313,26 +314,26 @@
         (json.dumps(NOTES[0]), "no note names a proxy"),
     ],
 )
-def test_what_is_no_capture_is_told_in_a_line(tmp_path, text, word):
+def test_invalid_capture_is_reported_in_one_line(tmp_path, text, expected):
     (tmp_path / "capture.jsonl").write_text(text)
-    with pytest.raises(BadCaptureError, match=word):
+    with pytest.raises(BadCaptureError, match=expected):
         check(tmp_path / "capture.jsonl")
 
 
-def test_nothing_judged_is_no_pass(tmp_path):
+def test_capture_without_judged_cases_does_not_pass(tmp_path):
     assert not judge(tmp_path, NOTES).passed
 
 
-def test_the_command_judges_a_folder_with_its_exit_codes(tmp_path):
+def test_day_check_exit_codes(tmp_path):
     from click.testing import CliRunner
 
     runner = CliRunner()
     assert runner.invoke(main, ["day", "check", str(tmp_path)]).exit_code == 2
-    judge(tmp_path, day())
+    judge(tmp_path, valid_capture())
     result = runner.invoke(main, ["day", "check", str(tmp_path)])
     assert result.exit_code == 0
     report = json.loads((tmp_path / "report.json").read_text())
     assert report["rules"]["5"] == {"judged": 1, "broken": 0}
-    judge(tmp_path, [*day(), final(2.6, 486, "c2")])
+    judge(tmp_path, [*valid_capture(), final(2.6, 486, "c2")])
     assert runner.invoke(main, ["day", "check", str(tmp_path)]).exit_code == 1
     assert measure_capture(tmp_path / "capture.jsonl")["final_answers"]["200"] == 20
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,4 +1,4 @@
-"""Settings, scripts and whole short days over sockets."""
+"""Settings of days and proxies, the plan of a day, and short days played over sockets."""
 
 import json
 import signal
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "places"),
+    ("text", "expected"),
     [
         ("(edge", ["no S-expression"]),
         ("(day)", ["named 'day'"]),
@@ -58,17 +58,17 @@
         ),
     ],
 )
-def test_each_fault_in_settings_is_named_with_its_place(tmp_path, text, places):
+def test_each_error_in_settings_is_reported_with_its_path(tmp_path, text, expected):
     path = tmp_path / "edge.sexp"
     path.write_text(text)
     result = CliRunner().invoke(main, ["edge", "run", "--settings", str(path)])
-    assert result.exit_code == 2 and len(result.stderr.splitlines()) == len(places)
-    for place in places:
-        assert place in result.stderr
+    assert result.exit_code == 2 and len(result.stderr.splitlines()) == len(expected)
+    for path_or_message in expected:
+        assert path_or_message in result.stderr
     assert all(line.startswith(str(path)) for line in result.stderr.splitlines())
 
 
-def test_settings_written_are_settings_read(tmp_path):
+def test_format_settings_round_trip(tmp_path):
     text = format_settings(
         "edge",
         name="p",
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "word"),
+    ("text", "expected"),
     [
         ("(fault (kind storm) (at 1))", "fault[0].kind"),
         ("(fault (kind slow) (at 9) (lasts 3))", "ends after the day"),
@@ -99,40 +99,40 @@
         ),
     ],
 )
-def test_each_fault_of_a_day_is_named(text, word):
-    with pytest.raises(BadSettingsError, match=word.replace("[", r"\[")):
+def test_each_error_in_a_day_is_reported(text, expected):
+    with pytest.raises(BadSettingsError, match=expected.replace("[", r"\[")):
         day_of(text)
 
 
-def test_a_day_is_drawn_alike_by_every_process():
+def test_plan_depends_only_on_settings_and_seed():
     day = day_of("(fault (kind vanish) (at 2) (lasts 1) (share 0.4)) (fault (kind rolling) (at 4) (lasts 2) (share 1))")
-    one, two, other = DayPlan(day, 1), DayPlan(day, 1), DayPlan(day, 2)
-    assert (one.machine_runs, one.group_sizes, one.destination_weights, one.tcp_exchanges) == (
-        two.machine_runs,
-        two.group_sizes,
-        two.destination_weights,
-        two.tcp_exchanges,
+    first, second, other = DayPlan(day, 1), DayPlan(day, 1), DayPlan(day, 2)
+    assert (first.machine_runs, first.group_sizes, first.destination_weights, first.tcp_exchanges) == (
+        second.machine_runs,
+        second.group_sizes,
+        second.destination_weights,
+        second.tcp_exchanges,
     )
-    assert one.group_sizes != other.group_sizes
+    assert first.group_sizes != other.group_sizes
 
 
-def test_machines_are_replaced_and_come_back_cold():
+def test_restarted_machines_are_cold():
     day = day_of("(fault (kind vanish) (at 2) (lasts 1) (share 0.34)) (fault (kind rolling) (at 4) (lasts 3) (share 1))")
     plan = DayPlan(day, 1)
-    gone = [life for life in plan.machine_runs if life.stops_at == 2]
-    assert len(gone) == 1 and not gone[0].orderly_stop
-    (back,) = [life for life in plan.machine_runs if life.starts_at == 3]
-    assert back.id == gone[0].id
-    drained = [life for life in plan.machine_runs if life.drains_at < NEVER]
-    assert len(drained) == 3 and all(life.stops_at > life.drains_at and life.orderly_stop for life in drained)
-    news = plan.list_updates()
-    assert [when for when, *_ in news] == sorted(when for when, *_ in news)
-    fresh = next(life for life in plan.machine_runs if life.starts_at > BEFORE_DAY)
-    assert plan.processor_speed(fresh, fresh.starts_at) == pytest.approx(day.cold.from_share)
-    assert plan.processor_speed(fresh, fresh.starts_at + 100) == pytest.approx(1)
-
-
-def test_faults_strike_when_and_whom_the_script_says():
+    stopped = [run for run in plan.machine_runs if run.stops_at == 2]
+    assert len(stopped) == 1 and not stopped[0].orderly_stop
+    (restarted,) = [run for run in plan.machine_runs if run.starts_at == 3]
+    assert restarted.id == stopped[0].id
+    drained = [run for run in plan.machine_runs if run.drains_at < NEVER]
+    assert len(drained) == 3 and all(run.stops_at > run.drains_at and run.orderly_stop for run in drained)
+    updates = plan.list_updates()
+    assert [when for when, *_ in updates] == sorted(when for when, *_ in updates)
+    cold_run = next(run for run in plan.machine_runs if run.starts_at > BEFORE_DAY)
+    assert plan.processor_speed(cold_run, cold_run.starts_at) == pytest.approx(day.cold.from_share)
+    assert plan.processor_speed(cold_run, cold_run.starts_at + 100) == pytest.approx(1)
+
+
+def test_faults_are_active_at_their_times_on_their_targets():
     plan = DayPlan(
         day_of(
             "(fault (kind district-cut) (at 1) (lasts 2) (share 0.34)) "
@@ -141,10 +141,10 @@
         ),
         3,
     )
-    (member,) = plan.scheduled_faults[0].targets
-    others = [number for number in range(3) if number != member]
-    assert plan.is_cut_off(member, others[0], 1.5) and not plan.is_cut_off(others[0], others[1], 1.5)
-    assert not plan.is_cut_off(member, others[0], 3.5)
+    (target,) = plan.scheduled_faults[0].targets
+    others = [number for number in range(3) if number != target]
+    assert plan.is_cut_off(target, others[0], 1.5) and not plan.is_cut_off(others[0], others[1], 1.5)
+    assert not plan.is_cut_off(target, others[0], 3.5)
     assert plan.group_size(0, 1, 5.5) == plan.group_size(0, 1, 4) // 2
     assert plan.processor_speed(plan.machine_runs[0], 7.2) == 0 and plan.processor_speed(plan.machine_runs[0], 7.7) == 1
 
@@ -158,7 +158,7 @@
 """
 
 
-def test_a_short_bad_day_over_sockets_keeps_every_rule(tmp_path):
+def test_short_day_with_faults_over_sockets_keeps_every_rule(tmp_path):
     path = tmp_path / "day.sexp"
     path.write_text(DAY % (4, FAULTS))
     folder = tmp_path / "report"
@@ -171,7 +171,7 @@
     logs = "".join(log.read_text() for log in folder.glob("*.log"))
     assert "event-failed" not in logs and "Traceback" not in logs
     replayed = 0
-    for trace in sorted((folder / "traces").glob("*.trace")):  # every process of the day, the killed one too
+    for trace in sorted((folder / "traces").glob("*.trace")):  # of every proxy process of the day, including the killed one
         result = CliRunner().invoke(main, ["trace", "replay", str(trace)])
         assert result.exit_code == 0, result.output
         replayed += int(result.output.split(" events, ")[1].split()[0])
@@ -183,7 +183,7 @@
     assert result.exit_code == 0, result.output
 
 
-def test_a_proxy_drains_on_sigterm_and_ends_with_0(tmp_path):
+def test_sigterm_drains_a_proxy_and_exits_0(tmp_path):
     port, exchange = free_ports(2)
     path = tmp_path / "edge.sexp"
     path.write_text(
@@ -227,7 +227,7 @@
         process.stderr.close()
 
 
-def test_a_taken_address_ends_a_proxy_with_2(tmp_path):
+def test_address_in_use_exits_2(tmp_path):
     with socket.socket() as taken:
         taken.bind(("127.0.0.1", 0))
         taken.listen()
--- a/tests/test_from_bench.py
+++ b/tests/test_from_bench.py
@@ -1,4 +1,4 @@
-"""Bench days as scripted days: every kind of trouble finds its fault, and what has none is said."""
+"""Conversion of bench days to scripted days: every kind of trouble becomes a fault, and those without one are reported."""
 
 import json
 
@@ -34,7 +34,7 @@
 
 
 def bench(*troubles):
-    """A day of four exchanges as the bench writes it, with what the conversion reads."""
+    """A day of four exchanges in the format of the bench, with the fields that the conversion reads."""
     entry = {"share": 3.0, "worth": 1.0, "aim": 1_500_000, "deadline": 9_000_000, "late_worth": 0.1, "effect": "safe"}
     return {
         "family": "trunks",
@@ -77,8 +77,8 @@
     return parse(format_settings("day", **parts), "day", day=DayForm)
 
 
-def test_every_kind_of_trouble_has_its_fault():
-    parts, left = convert_bench_day(
+def test_each_kind_of_trouble_becomes_a_fault():
+    parts, remarks = convert_bench_day(
         bench(
             *(trouble(kind, 2.0 if kind in ("burst", "slow", "shared_slow", "ageing", "origin_slow") else 0.4) for kind in KINDS)
         ),
@@ -87,26 +87,26 @@
     day = day_of(parts)
     assert [fault.kind for fault in day.fault] == list(KINDS.values())
     assert all(fault.at == 10 for fault in day.fault)
-    assert any("advice" in line for line in left) and any("load" in line for line in left)
+    assert any("advice" in line for line in remarks) and any("load" in line for line in remarks)
 
 
 @pytest.mark.parametrize(("how", "kind"), [("silence", "answers-lost"), ("reset", "resets")])
-def test_answers_are_lost_in_two_ways(how, kind):
+def test_lost_answers_become_silence_or_resets(how, kind):
     day = day_of(convert_bench_day(bench(trouble("answer_lost", how=how)), 25)[0])
     assert [fault.kind for fault in day.fault] == [kind]
 
 
-def test_what_has_no_fault_is_said():
-    parts, left = convert_bench_day(bench(trouble("report_late"), trouble("unheard_of")), 25)
+def test_trouble_without_a_fault_is_reported():
+    parts, remarks = convert_bench_day(bench(trouble("report_late"), trouble("unheard_of")), 25)
     assert "fault" not in parts
-    assert sum("nothing of the kind is played" in line for line in left) == 2
+    assert sum("nothing of the kind is played" in line for line in remarks) == 2
 
 
-def test_groups_keep_their_proportion_to_what_is_offered():
+def test_group_sizes_keep_their_ratio_to_offered_traffic():
     day = day_of(convert_bench_day(bench(), 25)[0])
     assert day.groups.without == pytest.approx(1 / 3, abs=0.01) and day.exchanges == 4
-    wide = sum(entry.share * entry.circuits * entry.hold_s for entry in day.traffic_type)
-    assert day.groups.mean == pytest.approx(1.5 * 2 * day.rate * wide / 3, abs=1)
+    circuit_seconds = sum(entry.share * entry.circuits * entry.hold_s for entry in day.traffic_type)
+    assert day.groups.mean == pytest.approx(1.5 * 2 * day.rate * circuit_seconds / 3, abs=1)
     assert sum(entry.share for entry in day.traffic_type) == pytest.approx(1)
 
 
@@ -121,7 +121,7 @@
         lambda day: day.update(length=0),
     ],
 )
-def test_a_file_that_is_no_such_day_is_refused_in_a_line(tmp_path, change):
+def test_invalid_file_is_refused_in_one_line(tmp_path, change):
     day = bench()
     change(day)
     with pytest.raises(BadDayFileError):
@@ -132,7 +132,7 @@
     assert result.exit_code == 2 and len(result.stderr.splitlines()) == 1
 
 
-def test_the_command_prints_a_day_that_its_own_check_takes(tmp_path):
+def test_converted_day_passes_settings_check(tmp_path):
     path = tmp_path / "day.json"
     path.write_text(json.dumps(bench(trouble("vanish"))))
     result = CliRunner().invoke(main, ["day", "from-bench", str(path), "--seconds", "10"])
