--- a/benchmarks/causes.py
+++ b/benchmarks/causes.py
@@ -17,8 +17,8 @@
 
 from gingergap.settings.day import DayForm
 from gingergap.settings.forms import read
-from gingergap.standins.player import form
-from gingergap.standins.script import Plan
+from gingergap.standins.day_plan import DayPlan
+from gingergap.standins.player import format_settings
 from gingergap.trace.causes import find_bad_stretches
 from gingergap.trace.stream import open_traces
 from gingergap.trace.summary import TraceSummary
@@ -100,7 +100,7 @@
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / "day.sexp"
     path.write_text(
-        form(
+        format_settings(
             "day",
             name=f"{kind} {seed}".replace(" ", "-"),
             seconds=19,
@@ -136,8 +136,8 @@
 def named(kind, seed, folder):
     """What is named for each proxy that the trouble concerns: (proxy, cause or 'nothing')."""
     day = read(folder / "day.sexp", day=DayForm)
-    plan = Plan(day, seed)
-    struck = plan.strikes[0].members
+    plan = DayPlan(day, seed)
+    struck = plan.scheduled_faults[0].targets
     fault = day.fault[0]
     found = []
     for trace in open_traces([folder / "traces"]):
--- a/gingergap/cli/main.py
+++ b/gingergap/cli/main.py
@@ -90,11 +90,11 @@
 
 def _standin(path: Path) -> tuple[Any, Any]:
     from ..settings.day import DayForm, StandinForm
-    from ..standins.script import Plan
+    from ..standins.day_plan import DayPlan
 
     form = _read(path, standin=StandinForm)
     day = _read(Path(form.day), day=DayForm)
-    return form, Plan(day, form.seed)
+    return form, DayPlan(day, form.seed)
 
 
 def _places(form: Any) -> tuple[list[tuple[str, int]], list[tuple[str, int]], dict[tuple[str, int], int]]:
@@ -177,13 +177,13 @@
     import tempfile
 
     from ..settings.day import DayForm
-    from ..standins.player import DayFailedError, Player
+    from ..standins.player import DayFailedError, DayPlayer
 
     form = _read(file, day=DayForm)
     with tempfile.TemporaryDirectory(prefix="gingergap-day-") as scratch:
         folder = report if report is not None else Path(scratch)
         try:
-            Player(form, file, form.seed if seed is None else seed, folder, stores).play()
+            DayPlayer(form, file, form.seed if seed is None else seed, folder, stores).play()
         except DayFailedError as failed:
             _fail([f"{file}: {failed}"])
         except OSError as error:
@@ -210,12 +210,12 @@
 
     from ..settings.day import DayForm
     from ..settings.forms import parse
-    from ..standins.from_bench import BadDayFileError, scripted
-    from ..standins.player import form
+    from ..standins.from_bench import BadDayFileError, convert_bench_day
+    from ..standins.player import format_settings
 
     try:
-        parts, left = scripted(msgspec.json.decode(file.read_bytes()), seconds)
-        text = form("day", **parts)
+        parts, left = convert_bench_day(msgspec.json.decode(file.read_bytes()), seconds)
+        text = format_settings("day", **parts)
         parse(text, "the scripted day", day=DayForm)
     except OSError as error:
         _fail([f"{file}: {error.strerror}"])
@@ -429,7 +429,7 @@
     Exit 0, 1 where a rule was broken."""
     from ..experiments.search import BROKEN, searched, shrunk
     from ..settings.day import DayForm
-    from ..standins.player import form as written
+    from ..standins.player import format_settings
     from .tables import rows
 
     day = _read(file, day=DayForm)
@@ -449,7 +449,7 @@
     least = shrunk(found[0], 0.8)
     values = least.day.model_copy(update={"seed": least.seed}).model_dump(by_alias=False)  # its name is part of its draws
     try:
-        out.write_text(written("day", **values) + "\n")
+        out.write_text(format_settings("day", **values) + "\n")
     except OSError as error:
         _fail([f"{out}: {error.strerror}"])
     click.echo(
@@ -470,17 +470,17 @@
 
 def _judge(folder: Path) -> int:
     from ..standins.checker import BadCaptureError, check
-    from ..standins.report import offers_in, whole
+    from ..standins.report import day_report, read_offers
     from .tables import day_tables
 
     try:
         verdict = check(folder / "capture.jsonl")
-        report = whole(folder, verdict, offers_in(folder))
+        report = day_report(folder, verdict, read_offers(folder))
     except BadCaptureError as bad:
         _fail([str(bad)])
     (folder / "report.json").write_text(json.dumps(report, indent=1) + "\n")
     day_tables(report)
-    return 0 if verdict.kept else 1
+    return 0 if verdict.passed else 1
 
 
 main.add_command(trace)
--- a/gingergap/emulator/day.py
+++ b/gingergap/emulator/day.py
@@ -12,7 +12,7 @@
 from ..call_controller import CallController
 from ..host import GwState, LegEnd, Rsn, TrafficType
 from ..settings.day import DayForm
-from ..standins.script import LONG_AGO, NEVER, Plan
+from ..standins.day_plan import BEFORE_DAY, NEVER, DayPlan
 from .engine import SECOND, Engine
 from .groups import Groups
 from .machines import Machine
@@ -82,7 +82,7 @@
 
     def __init__(self, form: DayForm, seed: int, make: Callable[..., Any] | None = None) -> None:
         self.form, self.seed = form, seed
-        self.plan = Plan(form, seed)
+        self.plan = DayPlan(form, seed)
         self.figures_told = figures_of(form)
         self.engine = Engine(1)
         self.rules = Rules(units(form.release_guard_ms), units(form.drain_grace_ms))
@@ -105,9 +105,9 @@
         self.end = round(form.seconds * SECOND)
         self.chance = {name: Stream(seed, name) for name in ("lines busy", "network", "habits", "holding", "patience", "cuts")}
         self.arrivals = [Stream(seed, f"arrivals {number}") for number in range(form.exchanges)]
-        self.ways = [list(accumulate(weights)) for weights in self.plan.weights]
-        self.lossy = [strike for strike in self.plan.strikes if strike.fault.kind in ("loss", "delay", "answers-lost")]
-        self.cuts_off = any(strike.fault.kind == "district-cut" for strike in self.plan.strikes)
+        self.ways = [list(accumulate(weights)) for weights in self.plan.destination_weights]
+        self.lossy = [strike for strike in self.plan.scheduled_faults if strike.fault.kind in ("loss", "delay", "answers-lost")]
+        self.cuts_off = any(strike.fault.kind == "district-cut" for strike in self.plan.scheduled_faults)
         self.standing: dict[int, tuple[Caller, Proxy, Leg]] = {}
         self.set_up = HdrHistogram(1, 600_000_000, 3)
         self.worth = self.earned = 0.0
@@ -119,8 +119,8 @@
         make = make or self._controller
         exchanges = form.exchanges
         first = []
-        for life in self.plan.lives:
-            if life.born == LONG_AGO:
+        for life in self.plan.machine_runs:
+            if life.starts_at == BEFORE_DAY:
                 self._born(life)
                 first.append((life.id, life.number))
         self.proxies = [
@@ -165,24 +165,24 @@
     took = 0.0
 
     def _script(self) -> None:
-        for life in self.plan.lives:
-            if life.born > LONG_AGO:
-                self.engine.at(round(life.born * SECOND), self._born, life)
-            if life.dies < NEVER:
-                self.engine.at(round(life.dies * SECOND), self._dies, life)
-        for when, name, number, state, started in self.plan.list_news():
+        for life in self.plan.machine_runs:
+            if life.starts_at > BEFORE_DAY:
+                self.engine.at(round(life.starts_at * SECOND), self._born, life)
+            if life.stops_at < NEVER:
+                self.engine.at(round(life.stops_at * SECOND), self._dies, life)
+        for when, name, number, state, started in self.plan.list_updates():
             self.engine.at(
                 round(when * SECOND), self._news, name, number, STATES[state], max(1, round(started * SECOND)) if started > 0 else 0
             )
-        for strike in self.plan.strikes:
+        for strike in self.plan.scheduled_faults:
             fault, begin = strike.fault, round(strike.fault.at * SECOND)
             end = begin + round(fault.lasts * SECOND)
             if fault.kind == "kill-proxy":
-                for number in strike.members:
+                for number in strike.targets:
                     self.engine.at(begin, self.proxies[number].kill)
                     self.engine.at(end, self._start_proxy, number)
             elif fault.kind == "pause-proxy":
-                for number in strike.members:
+                for number in strike.targets:
                     self.engine.at(begin, self._pause, number, end)
             elif fault.kind == "groups-shrink":
                 for when in (begin, end):
@@ -193,19 +193,19 @@
     def _born(self, life: Any) -> None:
         machine = self.machines[life.id] = Machine(self.plan, life)
         self.by_number[life.number] = machine
-        if life.born > LONG_AGO:
+        if life.starts_at > BEFORE_DAY:
             self.rules.cold()
 
     def _dies(self, life: Any) -> None:
         """A machine stops: dialogs at it are cut, told so where it stops in good order."""
         machine = self.machines.get(life.id)
-        if machine is None or machine.life != life and machine.life.born != life.born:
+        if machine is None or machine.life != life and machine.life.starts_at != life.starts_at:
             return
         for caller, proxy, leg in list(self.standing.values()):
             if leg.holds is not None and (
                 leg.holds.machine is machine or leg.holds.beyond is not None and self._end_machine(leg) is machine
             ):
-                self._cut(caller, proxy, leg, life.orderly)
+                self._cut(caller, proxy, leg, life.orderly_stop)
 
     def _end_machine(self, leg: Leg) -> Machine | None:
         beyond = leg.holds.beyond.leg if leg.holds is not None and leg.holds.beyond is not None else None
@@ -214,8 +214,8 @@
     def _news(self, name: str, number: int, state: GwState, started: int) -> None:
         silent = [
             strike.fault
-            for strike in self.plan.strikes
-            if strike.fault.kind == "list-silent" and strike.on(self.engine.now / SECOND)
+            for strike in self.plan.scheduled_faults
+            if strike.fault.kind == "list-silent" and strike.is_active(self.engine.now / SECOND)
         ]
         if silent:  # told once the list is heard again
             self.engine.at(
@@ -235,16 +235,18 @@
             return
         proxy.start()
         now, lines = self.engine.now, []
-        for life in self.plan.lives:
-            if life.born <= now / SECOND:
+        for life in self.plan.machine_runs:
+            if life.starts_at <= now / SECOND:
                 state = (
                     GwState.GONE
-                    if now / SECOND >= life.dies
+                    if now / SECOND >= life.stops_at
                     else GwState.DRAINING
-                    if now / SECOND >= life.drains
+                    if now / SECOND >= life.drains_at
                     else GwState.READY
                 )
-                lines.append((life.id, life.number, state, max(1, round(life.born * SECOND)) if life.born > LONG_AGO else 0))
+                lines.append(
+                    (life.id, life.number, state, max(1, round(life.starts_at * SECOND)) if life.starts_at > BEFORE_DAY else 0)
+                )
         self.engine.after(2 * HOP, self._if_running, proxy, proxy.listed, lines)
         for other in range(self.form.exchanges):
             if other != number:
@@ -264,7 +266,7 @@
     def _resized(self, strike: Any) -> None:
         for a in range(self.form.exchanges):
             for b in range(a + 1, self.form.exchanges):
-                if strike.members & {a, b}:
+                if strike.targets & {a, b}:
                     self.groups.changed(a, b)
                     self._cut_lost(a, b)
 
@@ -286,7 +288,7 @@
     # --- callers ---
 
     def _next_arrival(self, home: int) -> None:
-        rate = self.plan.rate(home, max(0.0, self.engine.now / SECOND))
+        rate = self.plan.call_rate(home, max(0.0, self.engine.now / SECOND))
         when = self.engine.now + self.arrivals[home].exponential() / rate * SECOND
         if when < self.end:
             self.engine.at(round(when), self._arrival, home)
@@ -585,7 +587,7 @@
 
     def say(self, proxy: Proxy, told: bytes) -> None:
         now = self.engine.now / SECOND
-        lost = self.plan.anywhere("messages-lost", now)
+        lost = self.plan.active_faults("messages-lost", now)
         for other in self.proxies:
             if other is proxy or self._parted(proxy.here, other.here):
                 continue
@@ -602,7 +604,7 @@
         self.engine.after(HOP, self._if_running, proxy, proxy.trunk_group_reported, number, free, size)
 
     def _parted(self, a: int, b: int) -> bool:
-        return self.cuts_off and self.plan.cut_off(a, b, self.engine.now / SECOND)
+        return self.cuts_off and self.plan.is_cut_off(a, b, self.engine.now / SECOND)
 
     def _resent(self, answers_from: int = -1) -> int:
         """How much later a message comes for being lost and sent again, and for a slow network."""
@@ -610,11 +612,11 @@
             return 0
         now, delay, lost = self.engine.now / SECOND, 0, 0.0
         for strike in self.lossy:
-            if strike.on(now):
+            if strike.is_active(now):
                 kind = strike.fault.kind
                 if kind == "delay":
                     delay += units(strike.fault.ms)
-                elif kind == "loss" or answers_from in strike.members:
+                elif kind == "loss" or answers_from in strike.targets:
                     lost = 1 - (1 - lost) * (1 - strike.fault.factor)
         gap = T1
         while lost and self.chance["network"].uniform() < lost and gap <= T1 << 5:
--- a/gingergap/emulator/groups.py
+++ b/gingergap/emulator/groups.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from ..standins.script import Plan
+from ..standins.day_plan import DayPlan
 from .engine import SECOND, Engine
 
 LOOK = 400  # tenths of a millisecond between an exchange's looks at its groups
@@ -11,18 +11,18 @@
 class Groups:
     """`tell(here, number, free, size)` reaches the proxy of `here`."""
 
-    def __init__(self, engine: Engine, plan: Plan, tell: Callable[[int, int, int, int], None]) -> None:
+    def __init__(self, engine: Engine, plan: DayPlan, tell: Callable[[int, int, int, int], None]) -> None:
         self.engine, self.plan, self.tell = engine, plan, tell
         self.count = plan.day.exchanges
         self.held: dict[tuple[int, int], int] = {}
         self.dirty: list[set[int]] = [set() for _ in range(self.count)]
         self.looking = [False] * self.count
-        self.varies = any(strike.fault.kind == "groups-shrink" for strike in plan.strikes)
+        self.varies = any(strike.fault.kind == "groups-shrink" for strike in plan.scheduled_faults)
 
     def size(self, a: int, b: int) -> int:
         if self.varies:
-            return self.plan.size(a, b, self.engine.now / SECOND)
-        return self.plan.sizes[(a, b) if a < b else (b, a)]
+            return self.plan.group_size(a, b, self.engine.now / SECOND)
+        return self.plan.group_sizes[(a, b) if a < b else (b, a)]
 
     def free(self, a: int, b: int) -> int:
         return self.size(a, b) - self.held.get((a, b) if a < b else (b, a), 0)
--- a/gingergap/emulator/machines.py
+++ b/gingergap/emulator/machines.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from ..standins.script import LONG_AGO, Life, Plan
+from ..standins.day_plan import BEFORE_DAY, DayPlan, MachineRun
 from .engine import SECOND
 
 STEP = 0.05  # seconds for which a changing speed counts as steady
@@ -12,29 +12,29 @@
     """`life` as the day's plan draws it. Times in seconds of the day, as the plan has them; those handed in and out in
     tenths of a millisecond."""
 
-    def __init__(self, plan: Plan, life: Life) -> None:
+    def __init__(self, plan: DayPlan, life: MachineRun) -> None:
         self.plan, self.life, self.number = plan, life, life.number
         self.free_at = 0.0  # when the line has done all that was put on it
         self.fallen = False
         self.arrivals: deque[float] = deque()
         cold = plan.day.cold
-        self.warm_at = life.born + cold.warm_after_ms / 1000 if life.born > LONG_AGO else LONG_AGO
+        self.warm_at = life.starts_at + cold.warm_after_ms / 1000 if life.starts_at > BEFORE_DAY else BEFORE_DAY
         self.unsteady = [
             (strike.fault.at, strike.fault.at + strike.fault.lasts)
-            for strike in plan.strikes
+            for strike in plan.scheduled_faults
             if strike.fault.kind == "all-slow"
             or strike.fault.kind in ("slow", "ageing", "pauses")
-            and life.number in strike.members
+            and life.number in strike.targets
         ]
         self.silences = [
             (strike.fault.at, strike.fault.at + strike.fault.lasts)
-            for strike in plan.strikes
-            if strike.fault.kind == "silence" and life.number in strike.members
+            for strike in plan.scheduled_faults
+            if strike.fault.kind == "silence" and life.number in strike.targets
         ]
 
     def runs(self, now: int) -> bool:
         at = now / SECOND
-        return self.life.born <= at < self.life.dies
+        return self.life.starts_at <= at < self.life.stops_at
 
     def silent(self, now: int) -> bool:
         at = now / SECOND
@@ -59,7 +59,7 @@
         if at >= self.warm_at and not self.unsteady:
             return at + left
         while left > 1e-9:
-            speed = self.plan.speed(self.life, at)
+            speed = self.plan.processor_speed(self.life, at)
             if speed <= 0:
                 at += 0.02
                 continue
@@ -70,7 +70,7 @@
 
     def arrived(self, now: int) -> bool:
         """A set-up reached the machine: cold ones weigh; whether it has just fallen over, for good."""
-        if self.fallen or not self.plan.pushed_over(self.life, self.arrivals, now / SECOND):
+        if self.fallen or not self.plan.add_arrival(self.life, self.arrivals, now / SECOND):
             return False
         self.fallen = True
         return True
