--- a/benchmarks/validation.py
+++ b/benchmarks/validation.py
@@ -16,8 +16,8 @@
 from pathlib import Path
 
 from gingergap.call_controller import CallController
+from gingergap.emulator.controller_factory import controller_arguments
 from gingergap.emulator.day import Day
-from gingergap.emulator.versions import figures_of
 from gingergap.settings.day import DayForm
 from gingergap.settings.forms import read
 
@@ -59,7 +59,7 @@
 
 
 def emulated(day, seed):
-    figures = Day(read(ROOT / "days" / f"{day}.sexp", day=DayForm), seed).run().figures()
+    figures = Day(read(ROOT / "days" / f"{day}.sexp", day=DayForm), seed).run().summary()
     return {
         "service": figures["service"],
         "stood": figures["stood"] / figures["offered"],
@@ -103,14 +103,14 @@
             sized,
             1,
             lambda host, here, proxies, types, sized=sized: Timed(
-                CallController(host, 1000 + here, here, proxies, types, **figures_of(sized))
+                CallController(host, 1000 + here, here, proxies, types, **controller_arguments(sized))
             ),
         )
         inner.run()
-        share = min(1.0, Timed.spent / inner.took)
+        share = min(1.0, Timed.spent / inner.run_duration)
         print(
-            f"{exchanges} exchanges: {day.came} calls, {day.tries} tries, {day.engine.done} events in {day.took:.2f} s: "
-            f"{day.tries / day.took:.0f} tries a second, {day.engine.done / day.took:.0f} events a second; in the module and "
+            f"{exchanges} exchanges: {day.offered} calls, {day.attempts} tries, {day.engine.event_count} events in {day.run_duration:.2f} s: "
+            f"{day.attempts / day.run_duration:.0f} tries a second, {day.engine.event_count / day.run_duration:.0f} events a second; in the module and "
             f"what it calls {share:.2f}"
         )
 
--- a/gingergap/cli/main.py
+++ b/gingergap/cli/main.py
@@ -298,8 +298,8 @@
 @click.option("--json", "as_json", is_flag=True, help="A JSON object a line.")
 def emulate(file: Path, seeds: tuple[int, ...], policy: str, exchanges: int | None, as_json: bool) -> None:
     """Play a day in simulated time: exit 0 with all rules kept, 1 with one broken, 2 on bad input."""
+    from ..emulator.controller_factory import UnknownPolicyError, controller_factory
     from ..emulator.day import Day
-    from ..emulator.versions import UnknownPolicyError, maker
     from ..settings.day import DayForm
     from .tables import rows
 
@@ -309,12 +309,12 @@
     kept, lines = True, []
     for seed in seeds or (form.seed,):
         try:
-            make = maker(policy, seed, form)
+            create_controller = controller_factory(policy, seed, form)
         except UnknownPolicyError as error:
             _fail([f"policy {policy}: {error}"])
-        day = Day(form, seed, make).run()
-        figures = {"seed": seed, "policy": policy, **day.figures()}
-        kept = kept and (day.rules.kept or policy not in ("module",) and not policy.endswith(".py"))
+        day = Day(form, seed, create_controller).run()
+        figures = {"seed": seed, "policy": policy, **day.summary()}
+        kept = kept and (day.rules.all_kept or policy not in ("module",) and not policy.endswith(".py"))
         if as_json:
             click.echo(json.dumps(figures))
             continue
@@ -339,7 +339,7 @@
 
 
 def _experiment(file: Path, folder: Path) -> Any:
-    from ..experiments.cells import BadExperimentError
+    from ..experiments.design import BadExperimentError
     from ..experiments.runner import Runner
     from ..settings.day import DayForm
     from ..settings.experiment import ExperimentForm
@@ -375,11 +375,11 @@
     runner = _experiment(file, results)
     with Progress(transient=True) as progress:
         task = progress.add_task(runner.form.name, total=None)
-        runner.told = lambda done, wanted: progress.update(task, completed=done, total=wanted)
+        runner.on_progress = lambda done, wanted: progress.update(task, completed=done, total=wanted)
         runner.run(workers or os.cpu_count() or 1)
-    from ..experiments.report import table
+    from ..experiments.report import comparison_table
 
-    rows(runner.form.name, table(runner))
+    rows(runner.form.name, comparison_table(runner))
     sys.exit(_broken(runner))
 
 
@@ -389,12 +389,12 @@
 @click.option("--out", type=FILE, required=True, help="The page (.html); the chart goes beside it as .png.")
 def experiment_report(file: Path, results: Path, out: Path) -> None:
     """Write what an experiment came to as a page and a chart."""
-    from ..experiments.report import chart, page
+    from ..experiments.report import draw_chart, render_page
 
     runner = _experiment(file, results)
     try:
-        out.write_text(page(runner))
-        out.with_suffix(".png").write_bytes(chart(runner))
+        out.write_text(render_page(runner))
+        out.with_suffix(".png").write_bytes(draw_chart(runner))
     except OSError as error:
         _fail([f"{out}: {error.strerror}"])
     click.echo(f"{out}: {len(runner.results.rows)} emulated days")
@@ -405,12 +405,12 @@
 @RESULTS
 def experiment_compare(file: Path, results: Path) -> None:
     """Print the comparisons as far as they are known: exit 0, 1 where the program's own module broke a rule."""
-    from ..experiments.report import effects, table
+    from ..experiments.report import comparison_table, effects_table
     from .tables import rows
 
     runner = _experiment(file, results)
-    rows(runner.form.name, table(runner))
-    rows("what the factors do", effects(runner))
+    rows(runner.form.name, comparison_table(runner))
+    rows("what the factors do", effects_table(runner))
     sys.exit(_broken(runner))
 
 
@@ -423,26 +423,26 @@
 def experiment_search(file: Path, days: int, seed: int, most: int, out: Path) -> None:
     """Draw troubles onto a day and keep the worst: where the module breaks a rule, or serves least against the best baseline.
     Exit 0, 1 where a rule was broken."""
-    from ..experiments.search import BROKEN, searched, shrunk
+    from ..experiments.search import BROKEN_RULE_BADNESS, search_days, shrink_day
     from ..settings.day import DayForm
     from ..standins.player import format_settings
     from .tables import rows
 
     day = _read(file, day=DayForm)
-    found = sorted(searched(day, seed, days, most), key=lambda one: -one.badness)
+    found = sorted(search_days(day, seed, days, most), key=lambda one: -one.badness)
     rows(
         "worst days",
         [
             {
                 "badness": round(one.badness, 4),
-                "than": one.than or "a rule broken",
+                "than": one.better_baseline or "a rule broken",
                 "seed": one.seed,
                 "faults": " ".join(fault.kind for fault in one.day.fault),
             }
             for one in found[:8]
         ],
     )
-    least = shrunk(found[0], 0.8)
+    least = shrink_day(found[0], 0.8)
     values = least.day.model_copy(update={"seed": least.seed}).model_dump(by_alias=False)  # its name is part of its draws
     try:
         out.write_text(format_settings("day", **values) + "\n")
@@ -452,7 +452,7 @@
         f"{out}: seed {least.seed}, badness {least.badness:.4f}, {len(least.day.fault)} faults, "
         f"{least.day.exchanges} exchanges, {least.day.seconds:g} s"
     )
-    sys.exit(1 if least.badness >= BROKEN else 0)
+    sys.exit(1 if least.badness >= BROKEN_RULE_BADNESS else 0)
 
 
 def _broken(runner: Any) -> int:
--- a/gingergap/emulator/__init__.py
+++ b/gingergap/emulator/__init__.py
@@ -1,2 +1,2 @@
-"""A day in simulated time: exchanges, trunk groups, callers and faults as on the scripted days, around the same decision module
-through the same `Host`. Deterministic by its seed; no sockets, no clock."""
+"""Discrete-event emulation of a scripted day: exchanges, trunk groups, callers and faults as on the stand-ins, around unmodified
+controllers that are reached through `Host`. Deterministic for a given seed; uses no sockets and no clock."""
--- a/gingergap/emulator/versions.py
+++ b/gingergap/emulator/controller_factory.py
@@ -1,4 +1,4 @@
-"""Which decisions an emulated day runs: the program's own, a baseline, or another version of the module from a file."""
+"""Selects the controller of an emulated day: the program's own, a baseline, or another version of the module from a file."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -7,33 +7,33 @@
 from ..settings.day import DayForm
 from ..trace.compare import module_at
 from ..trace.format import BadTraceError
-from .policies import baseline
+from .baselines import baseline_factory
 
 
 class UnknownPolicyError(Exception):
-    """One plain line."""
+    """The policy names no baseline and no usable module; the message is one line."""
 
 
-def maker(policy: str, seed: int, form: DayForm) -> Callable[..., Any] | None:
-    """A maker of controllers for `Day`, none for the program's own module. Raises UnknownPolicyError."""
+def controller_factory(policy: str, seed: int, form: DayForm) -> Callable[..., Any] | None:
+    """The factory of controllers that `Day` takes; None for the program's own module. Raises UnknownPolicyError."""
     if policy == "module":
         return None
     if not policy.endswith(".py"):
         try:
-            return baseline(policy, seed)
+            return baseline_factory(policy, seed)
         except KeyError:
             raise UnknownPolicyError("none of module, direct, random tandem, reservation, nor a file that ends in .py") from None
     try:
         module = module_at(Path(policy))
-    except (BadTraceError, OSError) as bad:
-        raise UnknownPolicyError(str(bad)) from None
-    return lambda host, here, proxies, types: module.CallController(
-        host, seed * 1000 + here, here, proxies, types, **figures_of(form)
+    except (BadTraceError, OSError) as error:
+        raise UnknownPolicyError(str(error)) from None
+    return lambda host, own_exchange, proxy_count, traffic_types: module.CallController(
+        host, seed * 1000 + own_exchange, own_exchange, proxy_count, traffic_types, **controller_arguments(form)
     )
 
 
-def figures_of(form: DayForm) -> dict[str, Any]:
-    """What the module is told of a day's agreements; the guard and spans as the running edge rounds them."""
+def controller_arguments(form: DayForm) -> dict[str, Any]:
+    """Keyword arguments of `CallController` for a day's agreements; guard and spans are rounded as in the running edge."""
     cold = form.cold
     return {
         "release_guard": round(form.release_guard_ms * 10) + 1,
--- a/gingergap/emulator/day.py
+++ b/gingergap/emulator/day.py
@@ -1,5 +1,5 @@
-"""A scripted day in simulated time: the network that carries legs, callers, the list, the faults of the day's plan; and what
-it came to, in the same figures as a day on sockets."""
+"""A scripted day in simulated time: the network that carries legs, the callers, the exchange list and the faults of the day's
+plan; its results are the same figures as those of a day on sockets."""
 
 import math
 import time
@@ -13,639 +13,722 @@
 from ..host import GwState, LegEnd, Rsn, TrafficType
 from ..settings.day import DayForm
 from ..standins.day_plan import BEFORE_DAY, NEVER, DayPlan
+from .controller_factory import controller_arguments
 from .engine import SECOND, Engine
-from .groups import Groups
 from .machines import Machine
 from .proxies import Call, Leg, Proxy
-from .rules import Rules
+from .rules import RuleChecker
 from .streams import Stream
-from .versions import figures_of
+from .trunk_groups import TrunkGroups
 
-HOP = 3  # tenths of a millisecond that a message takes from one to the next, processing of the proxy with it
-T1 = 5_000  # the first gap of a message sent again over UDP; it doubles (RFC 3261 section 17)
-SPREAD = 0.5  # of the logarithm of how long a dialog lasts, as on the stand-ins
-STATES = {"gone": GwState.GONE, "draining": GwState.DRAINING, "ready": GwState.READY}
+MESSAGE_DELAY = 3  # tenths of a millisecond that a message takes from one hop to the next, processing by the proxy included
+T1 = 5_000  # first retransmission interval over UDP in tenths of a millisecond; it doubles (RFC 3261 section 17)
+HOLD_TIME_SIGMA = 0.5  # standard deviation of the logarithm of a dialog's duration, as on the stand-ins
+STATE_BY_NAME = {"gone": GwState.GONE, "draining": GwState.DRAINING, "ready": GwState.READY}
 
 
-def units(ms: float) -> int:
+def to_ticks(ms: float) -> int:
+    """Milliseconds as whole tenths of a millisecond."""
     return round(ms * 10)
 
 
-class Holds:
-    """Circuits held for a leg: the groups, the machine at its end, and for a two-leg dialog the call at the tandem."""
+class LegResources:
+    """What the network holds for a leg: circuits between two exchanges, the machine at the far end, and for a dialog in transit
+    the onward call at the tandem's proxy."""
 
-    __slots__ = ("source", "number", "width", "machine", "released", "beyond", "tandem")
+    __slots__ = ("origin", "number", "circuits", "machine", "released", "onward_call", "tandem")
 
-    def __init__(self, source: int, number: int, width: int, machine: Machine) -> None:
-        self.source, self.number, self.width, self.machine = source, number, width, machine
+    def __init__(self, origin: int, number: int, circuits: int, machine: Machine) -> None:
+        self.origin, self.number, self.circuits, self.machine = origin, number, circuits, machine
         self.released = False
-        self.beyond: Call | None = None  # at the tandem's proxy
+        self.onward_call: Call | None = None  # at the tandem's proxy
         self.tandem: Proxy | None = None
 
 
 class Caller:
-    """One dialog with all its tries."""
+    """One dialog with all its attempts. Times are in tenths of a millisecond.
+
+    `started_at` and `redial_until` start anew after a cut; `attempt_id` tells answers to the current attempt from late ones;
+    `after_cut` marks attempts that replace an established dialog which was cut.
+    """
 
     __slots__ = (
-        "home",
-        "kind",
-        "far",
-        "first",
-        "began",
-        "tries",
-        "give_up_at",
-        "stood_at",
+        "exchange",
+        "traffic_type",
+        "destination",
+        "arrived_at",
+        "started_at",
+        "attempts",
+        "redial_until",
+        "established_at",
         "in_time",
         "cut",
         "redialled",
-        "marks_cut",
-        "hold",
-        "number",
+        "after_cut",
+        "hold_time",
+        "caller_number",
         "call",
-        "open",
-        "last",
-        "attempt",
+        "active",
+        "last_status",
+        "attempt_id",
     )
 
-    def __init__(self, home: int, kind: int, far: int, now: int, give_up_at: int, hold: int, number: str) -> None:
-        self.home, self.kind, self.far, self.first, self.began = home, kind, far, now, now
-        self.give_up_at, self.hold, self.number = give_up_at, hold, number
-        self.tries = self.last = self.attempt = 0
-        self.stood_at = -1
-        self.in_time = self.cut = self.redialled = self.marks_cut = False
-        self.open = True
+    def __init__(
+        self,
+        exchange: int,
+        traffic_type: int,
+        destination: int,
+        now: int,
+        redial_until: int,
+        hold_time: int,
+        caller_number: str,
+    ) -> None:
+        self.exchange, self.traffic_type, self.destination, self.arrived_at, self.started_at = (
+            exchange,
+            traffic_type,
+            destination,
+            now,
+            now,
+        )
+        self.redial_until, self.hold_time, self.caller_number = redial_until, hold_time, caller_number
+        self.attempts = self.last_status = self.attempt_id = 0
+        self.established_at = -1
+        self.in_time = self.cut = self.redialled = self.after_cut = False
+        self.active = True
         self.call: Call | None = None
 
 
 class Day:
-    """One emulated day. `make(host, here, proxies, types)` gives a controller; the program's own if left out."""
+    """One emulated day; the network of its proxies.
+
+    `create_controller(host, own_exchange, proxy_count, traffic_types)` makes the controllers; by default they are the program's
+    own.
+    """
 
-    def __init__(self, form: DayForm, seed: int, make: Callable[..., Any] | None = None) -> None:
+    def __init__(self, form: DayForm, seed: int, create_controller: Callable[..., Any] | None = None) -> None:
         self.form, self.seed = form, seed
         self.plan = DayPlan(form, seed)
-        self.figures_told = figures_of(form)
+        self.controller_arguments = controller_arguments(form)
         self.engine = Engine(1)
-        self.rules = Rules(units(form.release_guard_ms), units(form.drain_grace_ms))
-        self.groups = Groups(self.engine, self.plan, self._tell_group)
-        self.types = [
+        self.rules = RuleChecker(to_ticks(form.release_guard_ms), to_ticks(form.drain_grace_ms))
+        self.groups = TrunkGroups(self.engine, self.plan, self._report_group)
+        self.traffic_types = [
             TrafficType(
-                units(kind.setup_objective_ms),
-                units(kind.no_answer_time_ms),
-                kind.late_share,
-                kind.importance,
-                kind.repeatable,
+                to_ticks(type_form.setup_objective_ms),
+                to_ticks(type_form.no_answer_time_ms),
+                type_form.late_share,
+                type_form.importance,
+                type_form.repeatable,
                 None,
             )
-            for kind in form.traffic_type
+            for type_form in form.traffic_type
         ]
-        self.widths = [kind.circuits for kind in form.traffic_type]
-        self.shares = list(accumulate(kind.share for kind in form.traffic_type))
+        self.circuits_by_type = [type_form.circuits for type_form in form.traffic_type]
+        self.cumulative_shares = list(accumulate(type_form.share for type_form in form.traffic_type))
         self.machines: dict[str, Machine] = {}
-        self.by_number: dict[int, Machine] = {}
-        self.end = round(form.seconds * SECOND)
-        self.chance = {name: Stream(seed, name) for name in ("lines busy", "network", "habits", "holding", "patience", "cuts")}
-        self.arrivals = [Stream(seed, f"arrivals {number}") for number in range(form.exchanges)]
-        self.ways = [list(accumulate(weights)) for weights in self.plan.destination_weights]
-        self.lossy = [strike for strike in self.plan.scheduled_faults if strike.fault.kind in ("loss", "delay", "answers-lost")]
-        self.cuts_off = any(strike.fault.kind == "district-cut" for strike in self.plan.scheduled_faults)
-        self.standing: dict[int, tuple[Caller, Proxy, Leg]] = {}
-        self.set_up = HdrHistogram(1, 600_000_000, 3)
-        self.worth = self.earned = 0.0
-        self.worth_at_end = self.earned_at_end = 0.0  # of dialogs that came in the last quarter
-        self.last_quarter = self.end * 3 // 4
-        self.came = self.stood = self.in_time = self.cut = self.tries = 0
-        self.finals: dict[int, int] = {}
-        self.two_legs = 0
-        make = make or self._controller
+        self.machine_by_exchange: dict[int, Machine] = {}
+        self.end_time = round(form.seconds * SECOND)
+        self.streams = {name: Stream(seed, name) for name in ("lines busy", "network", "habits", "holding", "patience", "cuts")}
+        self.arrival_streams = [Stream(seed, f"arrivals {number}") for number in range(form.exchanges)]
+        self.cumulative_destinations = [list(accumulate(weights)) for weights in self.plan.destination_weights]
+        self.network_faults = [
+            scheduled for scheduled in self.plan.scheduled_faults if scheduled.fault.kind in ("loss", "delay", "answers-lost")
+        ]
+        self.has_district_cut = any(scheduled.fault.kind == "district-cut" for scheduled in self.plan.scheduled_faults)
+        self.established_dialogs: dict[int, tuple[Caller, Proxy, Leg]] = {}
+        self.setup_times = HdrHistogram(1, 600_000_000, 3)
+        self.offered_importance = self.served_importance = 0.0
+        self.offered_at_end = self.served_at_end = 0.0  # importance of dialogs that arrived in the last quarter
+        self.last_quarter = self.end_time * 3 // 4
+        self.offered = self.established = self.in_time = self.cut = self.attempts = 0
+        self.final_answers: dict[int, int] = {}
+        self.tandem_dialogs = 0
+        create_controller = create_controller or self._create_controller
         exchanges = form.exchanges
-        first = []
-        for life in self.plan.machine_runs:
-            if life.starts_at == BEFORE_DAY:
-                self._born(life)
-                first.append((life.id, life.number))
+        initial_machines = []
+        for run in self.plan.machine_runs:
+            if run.starts_at == BEFORE_DAY:
+                self._start_machine(run)
+                initial_machines.append((run.id, run.number))
         self.proxies = [
             Proxy(
                 self.engine,
                 self,
                 self.rules,
-                here,
-                lambda host, here=here: make(host, here, exchanges, self.types),
-                first,
+                own_exchange,
+                lambda host, own_exchange=own_exchange: create_controller(host, own_exchange, exchanges, self.traffic_types),
+                initial_machines,
                 form.store,
             )
-            for here in range(exchanges)
+            for own_exchange in range(exchanges)
         ]
-        for here in range(exchanges):
-            for number in range(exchanges):
-                if number != here:
-                    self._tell_group(here, number, self.groups.size(here, number), self.groups.size(here, number))
-        self._script()
-
-    def _controller(self, host: Any, here: int, proxies: int, types: list[TrafficType]) -> CallController:
-        return CallController(host, self.seed * 1000 + here, here, proxies, types, **self.figures_told)
+        for exchange in range(exchanges):
+            for other in range(exchanges):
+                if other != exchange:
+                    self._report_group(exchange, other, self.groups.size(exchange, other), self.groups.size(exchange, other))
+        self._schedule_plan()
+
+    def _create_controller(
+        self, host: Any, own_exchange: int, proxy_count: int, traffic_types: list[TrafficType]
+    ) -> CallController:
+        return CallController(
+            host, self.seed * 1000 + own_exchange, own_exchange, proxy_count, traffic_types, **self.controller_arguments
+        )
 
     # --- the day ---
 
     def run(self) -> "Day":
-        """Through to its end, and until the last tries are over."""
-        begun = time.perf_counter()
-        for home in range(self.form.exchanges):
-            self._next_arrival(home)
-        longest = max(kind.patience_s for kind in self.form.traffic_type)
-        self.engine.run(self.end + round((longest + 0.5) * SECOND))
-        self.over = True
-        for caller, proxy, leg in list(self.standing.values()):
+        """Run the day to its end and until the last attempts have ended, then release all dialogs."""
+        started = time.perf_counter()
+        for exchange in range(self.form.exchanges):
+            self._schedule_arrival(exchange)
+        max_patience = max(type_form.patience_s for type_form in self.form.traffic_type)
+        self.engine.run(self.end_time + round((max_patience + 0.5) * SECOND))
+        self.finished = True
+        for caller, proxy, leg in list(self.established_dialogs.values()):
             self._hang_up(caller, proxy, leg)
         self.engine.run(self.engine.now + 2 * SECOND)
-        self.rules.ended(self.engine.now)
-        self.took = time.perf_counter() - begun
+        self.rules.day_ended(self.engine.now)
+        self.run_duration = time.perf_counter() - started
         return self
 
-    over = False
-    took = 0.0
+    finished = False
+    run_duration = 0.0  # seconds of real time
 
-    def _script(self) -> None:
-        for life in self.plan.machine_runs:
-            if life.starts_at > BEFORE_DAY:
-                self.engine.at(round(life.starts_at * SECOND), self._born, life)
-            if life.stops_at < NEVER:
-                self.engine.at(round(life.stops_at * SECOND), self._dies, life)
+    def _schedule_plan(self) -> None:
+        for run in self.plan.machine_runs:
+            if run.starts_at > BEFORE_DAY:
+                self.engine.schedule_at(round(run.starts_at * SECOND), self._start_machine, run)
+            if run.stops_at < NEVER:
+                self.engine.schedule_at(round(run.stops_at * SECOND), self._stop_machine, run)
         for when, name, number, state, started in self.plan.list_updates():
-            self.engine.at(
-                round(when * SECOND), self._news, name, number, STATES[state], max(1, round(started * SECOND)) if started > 0 else 0
+            self.engine.schedule_at(
+                round(when * SECOND),
+                self._publish_list_update,
+                name,
+                number,
+                STATE_BY_NAME[state],
+                max(1, round(started * SECOND)) if started > 0 else 0,
             )
-        for strike in self.plan.scheduled_faults:
-            fault, begin = strike.fault, round(strike.fault.at * SECOND)
+        for scheduled in self.plan.scheduled_faults:
+            fault, begin = scheduled.fault, round(scheduled.fault.at * SECOND)
             end = begin + round(fault.lasts * SECOND)
             if fault.kind == "kill-proxy":
-                for number in strike.targets:
-                    self.engine.at(begin, self.proxies[number].kill)
-                    self.engine.at(end, self._start_proxy, number)
+                for number in scheduled.targets:
+                    self.engine.schedule_at(begin, self.proxies[number].kill)
+                    self.engine.schedule_at(end, self._start_proxy, number)
             elif fault.kind == "pause-proxy":
-                for number in strike.targets:
-                    self.engine.at(begin, self._pause, number, end)
+                for number in scheduled.targets:
+                    self.engine.schedule_at(begin, self._pause_proxy, number, end)
             elif fault.kind == "groups-shrink":
                 for when in (begin, end):
-                    self.engine.at(when, self._resized, strike)
+                    self.engine.schedule_at(when, self._resize_groups, scheduled)
             elif fault.kind == "cut":
-                self.engine.at(begin, self._cut_share, fault.share)
-
-    def _born(self, life: Any) -> None:
-        machine = self.machines[life.id] = Machine(self.plan, life)
-        self.by_number[life.number] = machine
-        if life.starts_at > BEFORE_DAY:
-            self.rules.cold()
-
-    def _dies(self, life: Any) -> None:
-        """A machine stops: dialogs at it are cut, told so where it stops in good order."""
-        machine = self.machines.get(life.id)
-        if machine is None or machine.life != life and machine.life.starts_at != life.starts_at:
+                self.engine.schedule_at(begin, self._cut_share, fault.share)
+
+    def _start_machine(self, run: Any) -> None:
+        machine = self.machines[run.id] = Machine(self.plan, run)
+        self.machine_by_exchange[run.number] = machine
+        if run.starts_at > BEFORE_DAY:
+            self.rules.cold_machine_started()
+
+    def _stop_machine(self, run: Any) -> None:
+        """A machine stops. Its dialogs are cut; after an orderly stop the proxies are notified."""
+        machine = self.machines.get(run.id)
+        if machine is None or machine.run != run and machine.run.starts_at != run.starts_at:
             return
-        for caller, proxy, leg in list(self.standing.values()):
-            if leg.holds is not None and (
-                leg.holds.machine is machine or leg.holds.beyond is not None and self._end_machine(leg) is machine
+        for caller, proxy, leg in list(self.established_dialogs.values()):
+            if leg.resources is not None and (
+                leg.resources.machine is machine
+                or leg.resources.onward_call is not None
+                and self._destination_machine(leg) is machine
             ):
-                self._cut(caller, proxy, leg, life.orderly_stop)
+                self._cut_dialog(caller, proxy, leg, run.orderly_stop)
 
-    def _end_machine(self, leg: Leg) -> Machine | None:
-        beyond = leg.holds.beyond.leg if leg.holds is not None and leg.holds.beyond is not None else None
-        return beyond.holds.machine if beyond is not None and beyond.holds is not None else None
+    def _destination_machine(self, leg: Leg) -> Machine | None:
+        """The machine at the end of the onward leg of a dialog in transit."""
+        onward_leg = leg.resources.onward_call.leg if leg.resources is not None and leg.resources.onward_call is not None else None
+        return onward_leg.resources.machine if onward_leg is not None and onward_leg.resources is not None else None
 
-    def _news(self, name: str, number: int, state: GwState, started: int) -> None:
+    def _publish_list_update(self, name: str, number: int, state: GwState, started: int) -> None:
         silent = [
-            strike.fault
-            for strike in self.plan.scheduled_faults
-            if strike.fault.kind == "list-silent" and strike.is_active(self.engine.now / SECOND)
+            scheduled.fault
+            for scheduled in self.plan.scheduled_faults
+            if scheduled.fault.kind == "list-silent" and scheduled.is_active(self.engine.now / SECOND)
         ]
-        if silent:  # told once the list is heard again
-            self.engine.at(
-                round((max(fault.at + fault.lasts for fault in silent) + 0.5) * SECOND), self._news, name, number, state, started
+        if silent:  # published half a second after the list resumes
+            self.engine.schedule_at(
+                round((max(fault.at + fault.lasts for fault in silent) + 0.5) * SECOND),
+                self._publish_list_update,
+                name,
+                number,
+                state,
+                started,
             )
             return
         for proxy in self.proxies:
-            self.engine.after(HOP, self._if_running, proxy, proxy.listed, [(name, number, state, started)])
+            self.engine.schedule_after(
+                MESSAGE_DELAY, self._run_on_proxy, proxy, proxy.exchange_list_received, [(name, number, state, started)]
+            )
 
-    def _if_running(self, proxy: Proxy, run: Callable[..., None], *args: Any) -> None:
+    def _run_on_proxy(self, proxy: Proxy, callback: Callable[..., None], *args: Any) -> None:
         if proxy.running:
-            proxy.when_awake(run, *args)
+            proxy.run_when_resumed(callback, *args)
 
     def _start_proxy(self, number: int) -> None:
+        """Start a killed proxy again; it receives the whole list and the state of its trunk groups."""
         proxy = self.proxies[number]
         if proxy.running:
             return
         proxy.start()
         now, lines = self.engine.now, []
-        for life in self.plan.machine_runs:
-            if life.starts_at <= now / SECOND:
+        for run in self.plan.machine_runs:
+            if run.starts_at <= now / SECOND:
                 state = (
                     GwState.GONE
-                    if now / SECOND >= life.stops_at
+                    if now / SECOND >= run.stops_at
                     else GwState.DRAINING
-                    if now / SECOND >= life.drains_at
+                    if now / SECOND >= run.drains_at
                     else GwState.READY
                 )
                 lines.append(
-                    (life.id, life.number, state, max(1, round(life.starts_at * SECOND)) if life.starts_at > BEFORE_DAY else 0)
+                    (run.id, run.number, state, max(1, round(run.starts_at * SECOND)) if run.starts_at > BEFORE_DAY else 0)
                 )
-        self.engine.after(2 * HOP, self._if_running, proxy, proxy.listed, lines)
+        self.engine.schedule_after(2 * MESSAGE_DELAY, self._run_on_proxy, proxy, proxy.exchange_list_received, lines)
         for other in range(self.form.exchanges):
             if other != number:
-                self.engine.after(
-                    2 * HOP,
-                    self._tell_group,
+                self.engine.schedule_after(
+                    2 * MESSAGE_DELAY,
+                    self._report_group,
                     number,
                     other,
                     max(0, self.groups.free(number, other)),
                     self.groups.size(number, other),
                 )
 
-    def _pause(self, number: int, until: int) -> None:
+    def _pause_proxy(self, number: int, until: int) -> None:
         self.proxies[number].paused_until = until
-        self.rules.stopped(number, self.engine.now, until)
+        self.rules.proxy_paused(number, self.engine.now, until)
 
-    def _resized(self, strike: Any) -> None:
+    def _resize_groups(self, scheduled: Any) -> None:
         for a in range(self.form.exchanges):
             for b in range(a + 1, self.form.exchanges):
-                if strike.targets & {a, b}:
-                    self.groups.changed(a, b)
-                    self._cut_lost(a, b)
-
-    def _cut_lost(self, a: int, b: int) -> None:
-        """Dialogs on circuits that are no more."""
-        over = -self.groups.free(a, b)
-        for caller, proxy, leg in list(self.standing.values()):
-            if over <= 0:
+                if scheduled.targets & {a, b}:
+                    self.groups.size_changed(a, b)
+                    self._cut_excess(a, b)
+
+    def _cut_excess(self, a: int, b: int) -> None:
+        """Cut dialogs until those of a group that has shrunk fit into it."""
+        excess = -self.groups.free(a, b)
+        for caller, proxy, leg in list(self.established_dialogs.values()):
+            if excess <= 0:
                 return
-            if {proxy.here, leg.number} == {a, b}:
-                over -= leg.call.width
-                self._cut(caller, proxy, leg, True)
+            if {proxy.own_exchange, leg.number} == {a, b}:
+                excess -= leg.call.circuits
+                self._cut_dialog(caller, proxy, leg, True)
 
     def _cut_share(self, share: float) -> None:
-        for caller, proxy, leg in list(self.standing.values()):
-            if self.chance["cuts"].uniform() < share:
-                self._cut(caller, proxy, leg, True)
+        for caller, proxy, leg in list(self.established_dialogs.values()):
+            if self.streams["cuts"].uniform() < share:
+                self._cut_dialog(caller, proxy, leg, True)
 
     # --- callers ---
 
-    def _next_arrival(self, home: int) -> None:
-        rate = self.plan.call_rate(home, max(0.0, self.engine.now / SECOND))
-        when = self.engine.now + self.arrivals[home].exponential() / rate * SECOND
-        if when < self.end:
-            self.engine.at(round(when), self._arrival, home)
-
-    def _arrival(self, home: int) -> None:
-        self._next_arrival(home)
-        stream = self.arrivals[home]
-        kind = stream.pick(self.shares)
-        far = stream.pick(self.ways[home])
-        form, now = self.form.traffic_type[kind], self.engine.now
-        hold = math.exp(math.log(form.hold_s) - SPREAD**2 / 2 + SPREAD * self.chance["holding"].normal())
+    def _schedule_arrival(self, exchange: int) -> None:
+        rate = self.plan.call_rate(exchange, max(0.0, self.engine.now / SECOND))
+        when = self.engine.now + self.arrival_streams[exchange].exponential() / rate * SECOND
+        if when < self.end_time:
+            self.engine.schedule_at(round(when), self._caller_arrives, exchange)
+
+    def _caller_arrives(self, exchange: int) -> None:
+        self._schedule_arrival(exchange)
+        stream = self.arrival_streams[exchange]
+        traffic_type = stream.pick_index(self.cumulative_shares)
+        destination = stream.pick_index(self.cumulative_destinations[exchange])
+        type_form, now = self.form.traffic_type[traffic_type], self.engine.now
+        hold_time_s = math.exp(
+            math.log(type_form.hold_s) - HOLD_TIME_SIGMA**2 / 2 + HOLD_TIME_SIGMA * self.streams["holding"].normal()
+        )
         caller = Caller(
-            home,
-            kind,
-            far,
+            exchange,
+            traffic_type,
+            destination,
             now,
-            now + units(form.no_answer_time_ms),
-            round(hold * SECOND),
-            f"0{far:03d}{int(stream.uniform() * 1e6):06d}",
+            now + to_ticks(type_form.no_answer_time_ms),
+            round(hold_time_s * SECOND),
+            f"0{destination:03d}{int(stream.uniform() * 1e6):06d}",
         )
-        self.came += 1
-        self.worth += form.importance
+        self.offered += 1
+        self.offered_importance += type_form.importance
         if now >= self.last_quarter:
-            self.worth_at_end += form.importance
-        self._try(caller)
-
-    def _try(self, caller: Caller) -> None:
-        """An INVITE to the own proxy."""
-        form = self.form.traffic_type[caller.kind]
-        caller.tries += 1
-        caller.attempt += 1
-        self.tries += 1
-        attempt = caller.attempt
-        patience = round(form.patience_s * SECOND)
-        habits = self.chance["patience"]
-        if habits.uniform() < self.form.callers.impatient:
-            patience = round(patience * habits.uniform() ** 2)
-        proxy = self.proxies[caller.home]
+            self.offered_at_end += type_form.importance
+        self._attempt(caller)
+
+    def _attempt(self, caller: Caller) -> None:
+        """The caller sends an INVITE to its own proxy."""
+        type_form = self.form.traffic_type[caller.traffic_type]
+        caller.attempts += 1
+        caller.attempt_id += 1
+        self.attempts += 1
+        attempt_id = caller.attempt_id
+        patience = round(type_form.patience_s * SECOND)
+        stream = self.streams["patience"]
+        if stream.uniform() < self.form.callers.impatient:
+            patience = round(patience * stream.uniform() ** 2)
+        proxy = self.proxies[caller.exchange]
         if not proxy.running:
-            self.engine.after(HOP, self._answered, caller, attempt, 0, 0, 0)
+            self.engine.schedule_after(MESSAGE_DELAY, self._final_answer, caller, attempt_id, 0, 0, 0)
             return
-        delay = HOP + self._resent()
-        self.engine.after(delay, self._if_running, proxy, self._offer, caller, proxy, attempt, form.patience_s * SECOND, delay)
-        self.engine.after(patience, self._patience_ends, caller, proxy, attempt)
+        delay = MESSAGE_DELAY + self._extra_delay()
+        self.engine.schedule_after(
+            delay, self._run_on_proxy, proxy, self._offer, caller, proxy, attempt_id, type_form.patience_s * SECOND, delay
+        )
+        self.engine.schedule_after(patience, self._patience_ends, caller, proxy, attempt_id)
 
-    def _offer(self, caller: Caller, proxy: Proxy, attempt: int, expires: int, delay: int) -> None:
-        if caller.attempt != attempt or caller.call is not None:
+    def _offer(self, caller: Caller, proxy: Proxy, attempt_id: int, expires_in: int, delay: int) -> None:
+        if caller.attempt_id != attempt_id or caller.call is not None:
             return
-        life = proxy.life
-        caller.call = proxy.offered(
-            caller.kind,
-            self.widths[caller.kind],
-            caller.far,
-            caller.number,
-            max(1, expires - delay),
+        generation = proxy.generation
+        caller.call = proxy.dialog_received(
+            caller.traffic_type,
+            self.circuits_by_type[caller.traffic_type],
+            caller.destination,
+            caller.caller_number,
+            max(1, expires_in - delay),
             False,
             caller.redialled and self.form.callers.marks_redial,
-            caller.marks_cut,
-            lambda *final: self.engine.after(HOP, self._answered, caller, attempt, *final),
-            (caller, life),
+            caller.after_cut,
+            lambda *final: self.engine.schedule_after(MESSAGE_DELAY, self._final_answer, caller, attempt_id, *final),
+            (caller, generation),
         )
-        if caller.call.answered and not caller.call.stands:
+        if caller.call.answered and not caller.call.established:
             caller.call = None
 
-    def _patience_ends(self, caller: Caller, proxy: Proxy, attempt: int) -> None:
-        if caller.attempt != attempt or caller.stood_at >= 0 and not caller.open:
+    def _patience_ends(self, caller: Caller, proxy: Proxy, attempt_id: int) -> None:
+        if caller.attempt_id != attempt_id or caller.established_at >= 0 and not caller.active:
             return
         call = caller.call
-        if call is not None and not call.answered and call.source[1] == proxy.life and proxy.running:
-            self.engine.after(HOP, self._if_running, proxy, proxy.given_up, call)
-        if call is None or not call.stands:
-            self.engine.after(2 * HOP, self._answered, caller, attempt, 487, 0, 0)
-
-    def _answered(self, caller: Caller, attempt: int, status: int, cause: int, away: int) -> None:
-        """A final answer reaches the caller, or nobody is there (0)."""
-        if caller.attempt != attempt or not caller.open:
+        if call is not None and not call.answered and call.caller[1] == proxy.generation and proxy.running:
+            self.engine.schedule_after(MESSAGE_DELAY, self._run_on_proxy, proxy, proxy.dialog_cancelled, call)
+        if call is None or not call.established:
+            self.engine.schedule_after(2 * MESSAGE_DELAY, self._final_answer, caller, attempt_id, 487, 0, 0)
+
+    def _final_answer(self, caller: Caller, attempt_id: int, status: int, cause: int, retry_after: int) -> None:
+        """The caller gets a final answer; status 0 means that its proxy is not running. `retry_after` in seconds."""
+        if caller.attempt_id != attempt_id or not caller.active:
             return
-        self.finals[status] = self.finals.get(status, 0) + 1
-        caller.last = status
+        self.final_answers[status] = self.final_answers.get(status, 0) + 1
+        caller.last_status = status
         now = self.engine.now
         if status == 200:
             call = caller.call
             if call is None or call.leg is None:
                 return
-            caller.attempt += 1
-            if caller.stood_at < 0:
-                self.stood += 1
-                took = now - caller.began
-                caller.in_time = took <= self.types[caller.kind].setup_objective
-                self.set_up.record_value(max(1, min(600_000_000, took * 100)))
-                self.two_legs += call.leg.number != call.far
+            caller.attempt_id += 1
+            if caller.established_at < 0:
+                self.established += 1
+                setup_time = now - caller.started_at
+                caller.in_time = setup_time <= self.traffic_types[caller.traffic_type].setup_objective
+                self.setup_times.record_value(max(1, min(600_000_000, setup_time * 100)))
+                self.tandem_dialogs += call.leg.number != call.destination
                 if caller.in_time:
                     self.in_time += 1
-                    self._earn(caller, self.types[caller.kind].importance)
-            caller.stood_at = now
-            proxy, leg = self.proxies[caller.home], call.leg
-            self.standing[id(leg)] = caller, proxy, leg
-            self.engine.after(caller.hold, self._hang_up, caller, proxy, leg)
+                    self._add_served(caller, self.traffic_types[caller.traffic_type].importance)
+            caller.established_at = now
+            proxy, leg = self.proxies[caller.exchange], call.leg
+            self.established_dialogs[id(leg)] = caller, proxy, leg
+            self.engine.schedule_after(caller.hold_time, self._hang_up, caller, proxy, leg)
             return
-        caller.attempt += 1
+        caller.attempt_id += 1
         caller.call = None
-        habits = self.chance["habits"]
-        if caller.tries > self.form.callers.redials or status == 487 and habits.uniform() < 0.3:
-            caller.open = False
+        stream = self.streams["habits"]
+        if caller.attempts > self.form.callers.redials or status == 487 and stream.uniform() < 0.3:
+            caller.active = False
             return
-        wait = self.form.callers.backoff_ms / 1000 * (0.5 + habits.uniform())
-        if away and habits.uniform() < self.form.callers.honour:
-            wait = max(wait, away)
-        if now + wait * SECOND >= caller.give_up_at or now >= self.end:
-            caller.open = False
+        wait = self.form.callers.backoff_ms / 1000 * (0.5 + stream.uniform())
+        if retry_after and stream.uniform() < self.form.callers.honour:
+            wait = max(wait, retry_after)
+        if now + wait * SECOND >= caller.redial_until or now >= self.end_time:
+            caller.active = False
             return
         caller.redialled = True
-        self.engine.after(round(wait * SECOND), self._try, caller)
+        self.engine.schedule_after(round(wait * SECOND), self._attempt, caller)
 
-    def _earn(self, caller: Caller, importance: float) -> None:
-        self.earned += importance
-        if caller.first >= self.last_quarter:
-            self.earned_at_end += importance
+    def _add_served(self, caller: Caller, importance: float) -> None:
+        self.served_importance += importance
+        if caller.arrived_at >= self.last_quarter:
+            self.served_at_end += importance
 
     def _hang_up(self, caller: Caller, proxy: Proxy, leg: Leg) -> None:
-        if self.standing.pop(id(leg), None) is None:
+        if self.established_dialogs.pop(id(leg), None) is None:
             return
-        caller.open = False
+        caller.active = False
         self._release(leg)
-        if proxy.running and proxy.life == leg.proxy_life:
-            proxy.when_awake(proxy.ended, leg, LegEnd.ENDED)
+        if proxy.running and proxy.generation == leg.proxy_generation:
+            proxy.run_when_resumed(proxy.leg_ended, leg, LegEnd.ENDED)
 
-    def _cut(self, caller: Caller, proxy: Proxy, leg: Leg, orderly: bool) -> None:
-        """A dialog that stood ends under its caller, who comes again if it is told."""
-        if self.standing.pop(id(leg), None) is None:
+    def _cut_dialog(self, caller: Caller, proxy: Proxy, leg: Leg, notified: bool) -> None:
+        """An established dialog is cut. If the parties are notified, the caller tries again; otherwise it notices nothing before
+        it hangs up."""
+        if self.established_dialogs.pop(id(leg), None) is None:
             return
         self._release(leg)
         if caller.in_time and not caller.cut:
             self.in_time -= 1
-            self._earn(caller, -self.types[caller.kind].importance)
+            self._add_served(caller, -self.traffic_types[caller.traffic_type].importance)
         self.cut += not caller.cut
         caller.cut = True
-        if not orderly:
-            caller.open = False
-            self.engine.after(caller.hold, self._late_end, proxy, leg)
+        if not notified:
+            caller.active = False
+            self.engine.schedule_after(caller.hold_time, self._report_late_end, proxy, leg)
             return
-        if proxy.running and proxy.life == leg.proxy_life:
-            proxy.when_awake(proxy.ended, leg, LegEnd.CUT)
+        if proxy.running and proxy.generation == leg.proxy_generation:
+            proxy.run_when_resumed(proxy.leg_ended, leg, LegEnd.CUT)
         now = self.engine.now
-        if now < self.end:
-            caller.marks_cut, caller.call = True, None
-            caller.began, caller.give_up_at = now, now + self.types[caller.kind].no_answer_time
-            self.engine.after(round((0.3 + self.chance["habits"].uniform()) * SECOND), self._try, caller)
+        if now < self.end_time:
+            caller.after_cut, caller.call = True, None
+            caller.started_at, caller.redial_until = now, now + self.traffic_types[caller.traffic_type].no_answer_time
+            self.engine.schedule_after(round((0.3 + self.streams["habits"].uniform()) * SECOND), self._attempt, caller)
 
-    def _late_end(self, proxy: Proxy, leg: Leg) -> None:
-        if proxy.running and proxy.life == leg.proxy_life:
-            proxy.when_awake(proxy.ended, leg, LegEnd.ENDED)
+    def _report_late_end(self, proxy: Proxy, leg: Leg) -> None:
+        if proxy.running and proxy.generation == leg.proxy_generation:
+            proxy.run_when_resumed(proxy.leg_ended, leg, LegEnd.ENDED)
 
     # --- legs ---
 
-    def leg(self, proxy: Proxy, leg: Leg, machine: str, limit: int) -> None:
-        delay = HOP + self._resent()
-        self.engine.after(delay, self._leg_arrives, proxy, leg, machine, limit, 0)
+    def send_leg(self, proxy: Proxy, leg: Leg, machine: str, time_limit: int) -> None:
+        delay = MESSAGE_DELAY + self._extra_delay()
+        self.engine.schedule_after(delay, self._leg_arrives, proxy, leg, machine, time_limit, 0)
 
-    def _leg_arrives(self, proxy: Proxy, leg: Leg, name: str, limit: int, resent: int) -> None:
+    def _leg_arrives(self, proxy: Proxy, leg: Leg, name: str, time_limit: int, retransmissions: int) -> None:
         now = self.engine.now
-        if leg.over or leg.given_up:
+        if leg.finished or leg.abandoned:
             return
         machine = self.machines.get(name)
-        if machine is None or not machine.runs(now):
-            self.engine.after(HOP, self._leg_failed, proxy, leg, LegEnd.UNREACHABLE, 0)
+        if machine is None or not machine.is_running(now):
+            self.engine.schedule_after(MESSAGE_DELAY, self._leg_failed, proxy, leg, LegEnd.UNREACHABLE, 0)
             return
-        if leg.number == proxy.here:  # there is no group to oneself
-            self._answer(proxy, leg, LegEnd.BUSY, Rsn.NONE)
+        if leg.number == proxy.own_exchange:  # an exchange has no trunk group to itself
+            self._send_answer(proxy, leg, LegEnd.BUSY, Rsn.NONE)
             return
-        if machine.silent(now) or self._parted(proxy.here, leg.number):
-            if resent < 6:
-                self.engine.after(T1 << resent, self._leg_arrives, proxy, leg, name, limit, resent + 1)
+        if machine.is_silent(now) or self._is_cut_off(proxy.own_exchange, leg.number):
+            if retransmissions < 6:
+                self.engine.schedule_after(
+                    T1 << retransmissions, self._leg_arrives, proxy, leg, name, time_limit, retransmissions + 1
+                )
             return
-        if machine.arrived(now):
-            self.rules.fell(now, name)
+        if machine.setup_arrived(now):
+            self.rules.machine_overloaded(now, name)
         processor = self.form.processor
-        if machine.wait(now) * 1000 > processor.turn_away_after_ms:
-            machine.put(now, processor.refuse_ms)
-            self._answer(proxy, leg, LegEnd.FULL, Rsn.PROCESSOR_FULL)
+        if machine.queue_delay(now) * 1000 > processor.turn_away_after_ms:
+            machine.add_work(now, processor.refuse_ms)
+            self._send_answer(proxy, leg, LegEnd.FULL, Rsn.PROCESSOR_FULL)
             return
-        if not self.groups.seize(proxy.here, leg.number, leg.call.width):
-            machine.put(now, processor.refuse_ms)
-            self._answer(proxy, leg, LegEnd.FULL, Rsn.NO_CIRCUIT)
+        if not self.groups.seize(proxy.own_exchange, leg.number, leg.call.circuits):
+            machine.add_work(now, processor.refuse_ms)
+            self._send_answer(proxy, leg, LegEnd.FULL, Rsn.NO_CIRCUIT)
             return
-        leg.holds = Holds(proxy.here, leg.number, leg.call.width, machine)
-        if leg.number == leg.call.far:
-            self.engine.at(machine.put(now, processor.setup_ms), self._set_up, proxy, leg)
+        leg.resources = LegResources(proxy.own_exchange, leg.number, leg.call.circuits, machine)
+        if leg.number == leg.call.destination:
+            self.engine.schedule_at(machine.add_work(now, processor.setup_ms), self._set_up_done, proxy, leg)
         else:
-            self.engine.at(machine.put(now, processor.transit_ms), self._onward, proxy, leg, limit)
-
-    def _set_up(self, proxy: Proxy, leg: Leg) -> None:
-        """The far end's processor has done its work on a set-up."""
-        if leg.holds.released or not leg.holds.machine.runs(self.engine.now) or leg.holds.machine.silent(self.engine.now):
-            if not leg.holds.released and leg.holds.machine.runs(self.engine.now):
-                self.engine.at(leg.holds.machine.heard_again(self.engine.now) + T1 // 2, self._again, proxy, leg)
+            self.engine.schedule_at(machine.add_work(now, processor.transit_ms), self._forward_to_tandem, proxy, leg, time_limit)
+
+    def _set_up_done(self, proxy: Proxy, leg: Leg) -> None:
+        """The processor of the destination has finished its work on a set-up."""
+        if (
+            leg.resources.released
+            or not leg.resources.machine.is_running(self.engine.now)
+            or leg.resources.machine.is_silent(self.engine.now)
+        ):
+            if not leg.resources.released and leg.resources.machine.is_running(self.engine.now):
+                self.engine.schedule_at(
+                    leg.resources.machine.silence_end(self.engine.now) + T1 // 2, self._retransmit_answer, proxy, leg
+                )
             return
-        if self.chance["lines busy"].uniform() < self.form.processor.lines_busy:
+        if self.streams["lines busy"].uniform() < self.form.processor.lines_busy:
             self._release(leg, work=False)
-            self._answer(proxy, leg, LegEnd.BUSY, Rsn.LINES_BUSY)
+            self._send_answer(proxy, leg, LegEnd.BUSY, Rsn.LINES_BUSY)
             return
-        self._answer(proxy, leg, None, 0)
+        self._send_answer(proxy, leg, None, 0)
 
-    def _again(self, proxy: Proxy, leg: Leg) -> None:
-        """An answer is sent again once its machine is heard."""
-        if not leg.holds.released and leg.holds.machine.runs(self.engine.now) and not leg.holds.machine.fallen:
-            self._answer(proxy, leg, None, 0)
+    def _retransmit_answer(self, proxy: Proxy, leg: Leg) -> None:
+        """Send an answer again once the machine is no longer silent."""
+        if not leg.resources.released and leg.resources.machine.is_running(self.engine.now) and not leg.resources.machine.failed:
+            self._send_answer(proxy, leg, None, 0)
 
-    def _onward(self, proxy: Proxy, leg: Leg, limit: int) -> None:
+    def _forward_to_tandem(self, proxy: Proxy, leg: Leg, time_limit: int) -> None:
         """A tandem hands a dialog in transit to its own proxy."""
-        if leg.holds.released or not leg.holds.machine.runs(self.engine.now):
+        if leg.resources.released or not leg.resources.machine.is_running(self.engine.now):
             return
         tandem = self.proxies[leg.number]
         if not tandem.running:
             return
-        tandem.when_awake(self._offer_transit, proxy, leg, tandem, limit)
+        tandem.run_when_resumed(self._offer_transit, proxy, leg, tandem, time_limit)
 
-    def _offer_transit(self, proxy: Proxy, leg: Leg, tandem: Proxy, limit: int) -> None:
+    def _offer_transit(self, proxy: Proxy, leg: Leg, tandem: Proxy, time_limit: int) -> None:
         call = leg.call
-        if leg.holds.released:
+        if leg.resources.released:
             return
 
-        def told(status: int, cause: int, away: int) -> None:
-            self.engine.after(2 * HOP, self._transit_told, proxy, leg, status, cause)
-
-        leg.holds.tandem = tandem
-        leg.holds.beyond = tandem.offered(
-            call.kind, call.width, call.far, "", max(1, limit - (self.engine.now - leg.sent)), True, False, False, told, None
+        def on_final(status: int, cause: int, retry_after: int) -> None:
+            self.engine.schedule_after(2 * MESSAGE_DELAY, self._transit_answered, proxy, leg, status, cause)
+
+        leg.resources.tandem = tandem
+        leg.resources.onward_call = tandem.dialog_received(
+            call.traffic_type,
+            call.circuits,
+            call.destination,
+            "",
+            max(1, time_limit - (self.engine.now - leg.sent_at)),
+            True,
+            False,
+            False,
+            on_final,
+            None,
         )
 
-    def _transit_told(self, proxy: Proxy, leg: Leg, status: int, cause: int) -> None:
+    def _transit_answered(self, proxy: Proxy, leg: Leg, status: int, cause: int) -> None:
         if status == 200:
-            if proxy.running and not proxy.stood(leg):
+            if proxy.running and not proxy.leg_answered(leg):
                 self._release(leg)
             return
         self._release(leg, work=False)
         rsn = {21: Rsn.TANDEM_DECLINED, 42: Rsn.BEYOND_TANDEM_FULL}.get(cause, 0)
-        how = LegEnd.FULL if rsn else LegEnd.BUSY if cause == 17 else LegEnd.NO_ANSWER
-        self._leg_failed(proxy, leg, how, Rsn.LINES_BUSY if cause == 17 else rsn)
-
-    def _answer(self, proxy: Proxy, leg: Leg, how: LegEnd | None, rsn: int) -> None:
-        """An answer on its way to the proxy that sent the leg; over UDP it is sent again until it comes."""
-        delay = HOP + self._resent(leg.number)
-        if how is None:
-            self.engine.after(delay, self._leg_stood, proxy, leg)
+        leg_end = LegEnd.FULL if rsn else LegEnd.BUSY if cause == 17 else LegEnd.NO_ANSWER
+        self._leg_failed(proxy, leg, leg_end, Rsn.LINES_BUSY if cause == 17 else rsn)
+
+    def _send_answer(self, proxy: Proxy, leg: Leg, leg_end: LegEnd | None, rsn: int) -> None:
+        """Send an answer to the proxy that sent the leg (`leg_end` None: accepted); over UDP it is retransmitted until it
+        arrives."""
+        delay = MESSAGE_DELAY + self._extra_delay(leg.number)
+        if leg_end is None:
+            self.engine.schedule_after(delay, self._leg_accepted, proxy, leg)
         else:
-            self.engine.after(delay, self._leg_failed, proxy, leg, how, rsn)
+            self.engine.schedule_after(delay, self._leg_failed, proxy, leg, leg_end, rsn)
 
-    def _leg_stood(self, proxy: Proxy, leg: Leg) -> None:
+    def _leg_accepted(self, proxy: Proxy, leg: Leg) -> None:
         if proxy.running:
-            proxy.when_awake(self._taken, proxy, leg)
-        elif leg.holds is not None:
+            proxy.run_when_resumed(self._deliver_answer, proxy, leg)
+        elif leg.resources is not None:
             self._release(leg)
 
-    def _taken(self, proxy: Proxy, leg: Leg) -> None:
-        if not proxy.stood(leg):  # nobody wants it any more
+    def _deliver_answer(self, proxy: Proxy, leg: Leg) -> None:
+        if not proxy.leg_answered(leg):  # the dialog has ended or been answered otherwise
             self._release(leg)
 
-    def _leg_failed(self, proxy: Proxy, leg: Leg, how: LegEnd, rsn: int) -> None:
+    def _leg_failed(self, proxy: Proxy, leg: Leg, leg_end: LegEnd, rsn: int) -> None:
         if proxy.running:
-            proxy.when_awake(proxy.ended, leg, how, rsn)
+            proxy.run_when_resumed(proxy.leg_ended, leg, leg_end, rsn)
 
-    def cancel(self, leg: Leg) -> None:
-        """A leg is called off: what it holds is freed by the way of a message."""
-        self.engine.after(HOP, self._cancelled, leg)
+    def cancel_leg(self, leg: Leg) -> None:
+        """Release what a leg holds as soon as the cancellation has arrived."""
+        self.engine.schedule_after(MESSAGE_DELAY, self._cancel_arrives, leg)
 
-    def _cancelled(self, leg: Leg) -> None:
-        holds = leg.holds
-        if holds is None or holds.released:
+    def _cancel_arrives(self, leg: Leg) -> None:
+        resources = leg.resources
+        if resources is None or resources.released:
             return
-        if holds.beyond is not None and holds.tandem.running:
-            holds.tandem.when_awake(holds.tandem.given_up, holds.beyond)
+        if resources.onward_call is not None and resources.tandem.running:
+            resources.tandem.run_when_resumed(resources.tandem.dialog_cancelled, resources.onward_call)
         self._release(leg, work=False)
 
     def _release(self, leg: Leg, work: bool = True) -> None:
-        """Free what a leg holds, beyond a tandem too; the release is work at the far end."""
-        holds = leg.holds
-        if holds is None or holds.released:
+        """Release what a leg holds, beyond a tandem too. With `work` the processor of the destination has to process the
+        release before the circuits are free."""
+        resources = leg.resources
+        if resources is None or resources.released:
             return
-        holds.released = True
+        resources.released = True
         now = self.engine.now
-        if work and holds.beyond is None and holds.machine.runs(now):
-            self.engine.at(
-                holds.machine.put(now, self.form.processor.release_ms), self.groups.release, holds.source, holds.number, holds.width
+        if work and resources.onward_call is None and resources.machine.is_running(now):
+            self.engine.schedule_at(
+                resources.machine.add_work(now, self.form.processor.release_ms),
+                self.groups.release,
+                resources.origin,
+                resources.number,
+                resources.circuits,
             )
         else:
-            self.groups.release(holds.source, holds.number, holds.width)
-        beyond = holds.beyond
-        if beyond is not None and beyond.leg is not None and beyond.stands:
-            inner = beyond.leg
-            self._release(inner)
-            if holds.tandem.running and inner.proxy_life == holds.tandem.life:
-                holds.tandem.when_awake(holds.tandem.ended, inner, LegEnd.ENDED)
+            self.groups.release(resources.origin, resources.number, resources.circuits)
+        onward_call = resources.onward_call
+        if onward_call is not None and onward_call.leg is not None and onward_call.established:
+            onward_leg = onward_call.leg
+            self._release(onward_leg)
+            if resources.tandem.running and onward_leg.proxy_generation == resources.tandem.generation:
+                resources.tandem.run_when_resumed(resources.tandem.leg_ended, onward_leg, LegEnd.ENDED)
 
     # --- messages ---
 
-    def say(self, proxy: Proxy, told: bytes) -> None:
+    def send_to_peers(self, proxy: Proxy, payload: bytes) -> None:
+        """Send a MESSAGE to the proxy of each other exchange, through that exchange's machine."""
         now = self.engine.now / SECOND
-        lost = self.plan.active_faults("messages-lost", now)
+        loss_faults = self.plan.active_faults("messages-lost", now)
         for other in self.proxies:
-            if other is proxy or self._parted(proxy.here, other.here):
+            if other is proxy or self._is_cut_off(proxy.own_exchange, other.own_exchange):
                 continue
-            if lost and any(self.chance["network"].uniform() < fault.factor for fault in lost):
+            if loss_faults and any(self.streams["network"].uniform() < fault.factor for fault in loss_faults):
                 continue
-            machine = self.by_number.get(other.here)
-            if machine is None or not machine.runs(self.engine.now) or machine.silent(self.engine.now):
+            machine = self.machine_by_exchange.get(other.own_exchange)
+            if machine is None or not machine.is_running(self.engine.now) or machine.is_silent(self.engine.now):
                 continue
-            done = machine.put(self.engine.now, self.form.processor.message_ms)
-            self.engine.at(done + HOP, self._if_running, other, other.heard, told)
+            processed_at = machine.add_work(self.engine.now, self.form.processor.message_ms)
+            self.engine.schedule_at(processed_at + MESSAGE_DELAY, self._run_on_proxy, other, other.peer_report_received, payload)
 
-    def _tell_group(self, here: int, number: int, free: int, size: int) -> None:
-        proxy = self.proxies[here]
-        self.engine.after(HOP, self._if_running, proxy, proxy.trunk_group_reported, number, free, size)
+    def _report_group(self, exchange: int, other: int, free: int, size: int) -> None:
+        proxy = self.proxies[exchange]
+        self.engine.schedule_after(MESSAGE_DELAY, self._run_on_proxy, proxy, proxy.trunk_group_reported, other, free, size)
 
-    def _parted(self, a: int, b: int) -> bool:
-        return self.cuts_off and self.plan.is_cut_off(a, b, self.engine.now / SECOND)
+    def _is_cut_off(self, a: int, b: int) -> bool:
+        return self.has_district_cut and self.plan.is_cut_off(a, b, self.engine.now / SECOND)
 
-    def _resent(self, answers_from: int = -1) -> int:
-        """How much later a message comes for being lost and sent again, and for a slow network."""
-        if not self.lossy:
+    def _extra_delay(self, answering_exchange: int = -1) -> int:
+        """Delay of a message by a slow network and by retransmissions after losses. `answering_exchange` sends the message if it
+        is an answer."""
+        if not self.network_faults:
             return 0
-        now, delay, lost = self.engine.now / SECOND, 0, 0.0
-        for strike in self.lossy:
-            if strike.is_active(now):
-                kind = strike.fault.kind
+        now, delay, loss = self.engine.now / SECOND, 0, 0.0
+        for scheduled in self.network_faults:
+            if scheduled.is_active(now):
+                kind = scheduled.fault.kind
                 if kind == "delay":
-                    delay += units(strike.fault.ms)
-                elif kind == "loss" or answers_from in strike.targets:
-                    lost = 1 - (1 - lost) * (1 - strike.fault.factor)
-        gap = T1
-        while lost and self.chance["network"].uniform() < lost and gap <= T1 << 5:
-            delay += gap
-            gap *= 2
+                    delay += to_ticks(scheduled.fault.ms)
+                elif kind == "loss" or answering_exchange in scheduled.targets:
+                    loss = 1 - (1 - loss) * (1 - scheduled.fault.factor)
+        interval = T1
+        while loss and self.streams["network"].uniform() < loss and interval <= T1 << 5:
+            delay += interval
+            interval *= 2
         return delay
 
-    # --- what it came to ---
+    # --- results ---
+
+    def summary(self) -> dict[str, Any]:
+        """The day's results; the keys are those printed by `emulate --json`.
 
-    def figures(self) -> dict[str, Any]:
-        """Service (importance that stood in time and was not cut, over importance offered) and the rest; times in ms."""
+        Service is the importance of dialogs established in time and not cut, over the importance offered; `service_at_end` is that
+        of the last quarter. `setup_ms` in milliseconds; `seconds` is the real time that the run took.
+        """
         legs = sum(proxy.counts.get("legs", 0) for proxy in self.proxies)
-        dialogs = max(1, self.came)
+        dialogs = max(1, self.offered)
         return {
-            "offered": self.came,
-            "stood": self.stood,
+            "offered": self.offered,
+            "stood": self.established,
             "stood_in_time": self.in_time,
             "cut": self.cut,
-            "tries": self.tries,
-            "service": round(self.earned / self.worth, 4) if self.worth else 0.0,
-            "service_at_end": round(self.earned_at_end / self.worth_at_end, 4) if self.worth_at_end else 0.0,
-            "setup_ms": {f"p{share:g}": round(self.set_up.get_value_at_percentile(share) / 1000, 2) for share in (50.0, 90.0, 99.0)}
-            if self.stood
+            "tries": self.attempts,
+            "service": round(self.served_importance / self.offered_importance, 4) if self.offered_importance else 0.0,
+            "service_at_end": round(self.served_at_end / self.offered_at_end, 4) if self.offered_at_end else 0.0,
+            "setup_ms": {
+                f"p{share:g}": round(self.setup_times.get_value_at_percentile(share) / 1000, 2) for share in (50.0, 90.0, 99.0)
+            }
+            if self.established
             else {},
             "legs_a_dialog": round(legs / dialogs, 3),
-            "stood_over_tandems": self.two_legs,
+            "stood_over_tandems": self.tandem_dialogs,
             "declined": sum(proxy.counts.get("declined", 0) for proxy in self.proxies),
-            "final_answers": dict(sorted(self.finals.items())),
+            "final_answers": dict(sorted(self.final_answers.items())),
             "rules": {rule: {"judged": self.rules.judged[rule], "broken": self.rules.broken[rule]} for rule in range(1, 6)},
-            "events": self.engine.done,
-            "seconds": round(self.took, 3),
+            "events": self.engine.event_count,
+            "seconds": round(self.run_duration, 3),
         }
--- a/gingergap/emulator/proxies.py
+++ b/gingergap/emulator/proxies.py
@@ -1,5 +1,5 @@
-"""One proxy in simulated time: the host of one controller. What the running edge does between SIP and the module, without SIP:
-legs, late answers released, dialogs in transit, counts of circuits. The decisions are the module's own, unchanged."""
+"""One proxy in simulated time: the host of one controller. It does what the running edge does between SIP and the controller,
+without SIP: legs, release of late answers, dialogs in transit, counts of circuits."""
 
 from collections.abc import Callable
 from typing import Any, Protocol
@@ -7,114 +7,143 @@
 from ..edge.circuits import Circuits
 from ..host import GwState, Learned, LegEnd, ListEntry, Rsn
 from .engine import SECOND, Engine
-from .rules import Rules
+from .rules import RuleChecker
 
 
 class Call:
-    """A dialog at one proxy. `told` is called once with its final answer: status, Q.850 cause, seconds to stay away."""
+    """A dialog at one proxy.
+
+    `on_final` is called once with the final answer: SIP status, Q.850 cause, seconds to wait before a new attempt. `leg_end` and
+    `rsn` are those of the last leg that ended; `caller` is whatever the originator of the dialog passed in.
+    """
 
     __slots__ = (
         "index",
-        "kind",
-        "width",
-        "far",
+        "traffic_type",
+        "circuits",
+        "destination",
         "transit",
-        "told",
+        "on_final",
         "leg",
         "answered",
-        "stands",
-        "how",
+        "established",
+        "leg_end",
         "rsn",
-        "came",
-        "source",
-        "legs",
+        "received_at",
+        "caller",
+        "leg_count",
     )
 
     def __init__(
-        self, index: int, kind: int, width: int, far: int, transit: bool, told: Callable[..., None], came: int, source: Any
+        self,
+        index: int,
+        traffic_type: int,
+        circuits: int,
+        destination: int,
+        transit: bool,
+        on_final: Callable[..., None],
+        received_at: int,
+        caller: Any,
     ) -> None:
-        self.index, self.kind, self.width, self.far, self.transit = index, kind, width, far, transit
-        self.told, self.came, self.source = told, came, source
+        self.index, self.traffic_type, self.circuits, self.destination, self.transit = (
+            index,
+            traffic_type,
+            circuits,
+            destination,
+            transit,
+        )
+        self.on_final, self.received_at, self.caller = on_final, received_at, caller
         self.leg: Leg | None = None
-        self.answered = self.stands = False
-        self.how: LegEnd | None = None
-        self.rsn = self.legs = 0
+        self.answered = self.established = False
+        self.leg_end: LegEnd | None = None
+        self.rsn = self.leg_count = 0
 
 
 class Leg:
-    """A leg of a call; `holds` is what the network keeps for it, to be released."""
+    """A leg of a call to the exchange `number`, the `index`-th of its dialog. `resources` is what the network keeps for it and
+    has to release."""
 
-    __slots__ = ("call", "gw", "number", "place", "sent", "over", "given_up", "holds", "proxy_life")
+    __slots__ = ("call", "gw", "number", "index", "sent_at", "finished", "abandoned", "resources", "proxy_generation")
 
-    def __init__(self, call: Call, gw: int, number: int, place: int, sent: int, proxy_life: int) -> None:
-        self.call, self.gw, self.number, self.place, self.sent = call, gw, number, place, sent
-        self.over = self.given_up = False
-        self.holds: Any = None
-        self.proxy_life = proxy_life
+    def __init__(self, call: Call, gw: int, number: int, index: int, sent_at: int, proxy_generation: int) -> None:
+        self.call, self.gw, self.number, self.index, self.sent_at = call, gw, number, index, sent_at
+        self.finished = self.abandoned = False
+        self.resources: Any = None
+        self.proxy_generation = proxy_generation
 
 
 class Network(Protocol):
-    """What carries a proxy's legs."""
+    """Carries the legs and messages of a proxy."""
 
-    def leg(self, proxy: "Proxy", leg: Leg, machine: str, limit: int) -> None: ...
-    def cancel(self, leg: Leg) -> None: ...
-    def say(self, proxy: "Proxy", told: bytes) -> None: ...
+    def send_leg(self, proxy: "Proxy", leg: Leg, machine: str, time_limit: int) -> None: ...
+    def cancel_leg(self, leg: Leg) -> None: ...
+    def send_to_peers(self, proxy: "Proxy", payload: bytes) -> None: ...
 
 
 class Proxy:
-    """The proxy of exchange `here`. `make` gives its controller for a host; `life` counts its starts. With `remembers`
-    a process begins with what the one before knew when it was killed."""
+    """The proxy of `own_exchange`.
+
+    `create_controller` makes the controller for this host. `generation` changes with each start and kill of the process. With
+    `keeps_state` a new process starts with what the controller of the killed one had learned. Times are in tenths of a
+    millisecond.
+    """
 
     def __init__(
         self,
         engine: Engine,
         network: Network,
-        rules: Rules,
-        here: int,
-        make: Callable[[Any], Any],
+        rules: RuleChecker,
+        own_exchange: int,
+        create_controller: Callable[[Any], Any],
         machines: list[tuple[str, int]],
-        remembers: bool = False,
+        keeps_state: bool = False,
     ) -> None:
-        self.engine, self.network, self.rules, self.here, self.make = engine, network, rules, here, make
-        self.remembers = remembers
-        self.kept: tuple[Learned, list[str], dict[str, ListEntry]] | None = None
-        self.words: dict[str, ListEntry] = {}
-        self.first = machines
-        self.life = 0
+        self.engine, self.network, self.rules, self.own_exchange, self.create_controller = (
+            engine,
+            network,
+            rules,
+            own_exchange,
+            create_controller,
+        )
+        self.keeps_state = keeps_state
+        self.saved_state: tuple[Learned, list[str], dict[str, ListEntry]] | None = None
+        self.listed: dict[str, ListEntry] = {}
+        self.configured_machines = machines
+        self.generation = 0
         self.running = False
         self.paused_until = 0
         self.counts: dict[str, int] = {}
         self.start()
 
-    # --- its life ---
+    # --- process ---
 
     def start(self) -> None:
-        """A process that knows nothing but its settings begins."""
+        """Start a process that knows its settings and the saved state, if there is any."""
         self.running = True
-        self.life += 1
-        self.ids: list[str] = []
-        self.gws: dict[str, int] = {}
-        self.numbers: list[int] = []
+        self.generation += 1
+        self.machine_ids: list[str] = []
+        self.gw_by_id: dict[str, int] = {}
+        self.exchange_of_gw: list[int] = []
         self.calls: dict[int, Call] = {}
         self.circuits = Circuits()
-        self.dialogs = 0
-        self.soon: list[tuple[Leg, LegEnd, int]] = []
-        self.settling = False
-        self.controller = self.make(self)
-        entries = [ListEntry(self._gw(name, number), number, GwState.READY, 0) for name, number in self.first]
+        self.dialog_count = 0
+        self.pending_leg_ends: list[tuple[Leg, LegEnd, int]] = []
+        self.reporting = False
+        self.controller = self.create_controller(self)
+        entries = [ListEntry(self._gw_of(name, number), number, GwState.READY, 0) for name, number in self.configured_machines]
         now = self.engine.now
         self.controller.exchange_list_received(now, entries, True)
-        if self.kept is not None:
-            self._recall(now, *self.kept)
+        if self.saved_state is not None:
+            self._restore(now, *self.saved_state)
         self.controller.start(now)
 
-    def _recall(self, now: int, learned: Learned, ids: list[str], words: dict[str, ListEntry]) -> None:
-        """What the process before knew, under the indices of this one."""
-        for name, word in words.items():
-            if word.state != GwState.GONE or name in self.gws:
-                self.controller.exchange_list_received(now, [word._replace(gw=self._gw(name, word.number))], False)
-                self.rules.word(now, self.here, name, word.state)
-        gws = [self.gws.get(name, -1) for name in ids]
+    def _restore(self, now: int, learned: Learned, machine_ids: list[str], listed: dict[str, ListEntry]) -> None:
+        """Hand the state of the previous process to the controller, translated to the indices of this process."""
+        for name, entry in listed.items():
+            if entry.state != GwState.GONE or name in self.gw_by_id:
+                self.controller.exchange_list_received(now, [entry._replace(gw=self._gw_of(name, entry.number))], False)
+                self.rules.machine_listed(now, self.own_exchange, name, entry.state)
+        gws = [self.gw_by_id.get(name, -1) for name in machine_ids]
         self.controller.restore(
             now,
             learned._replace(
@@ -125,225 +154,232 @@
         )
 
     def kill(self) -> None:
+        """End the process without notice; its dialogs are lost."""
         if not self.running:
             return
-        if self.remembers and hasattr(self.controller, "export_learned"):  # baselines know nothing worth keeping
-            self.kept = self.controller.export_learned(self.engine.now, 100_000), list(self.ids), dict(self.words)
+        if self.keeps_state and hasattr(self.controller, "export_learned"):  # baselines learn nothing worth keeping
+            self.saved_state = (
+                self.controller.export_learned(self.engine.now, 100_000),
+                list(self.machine_ids),
+                dict(self.listed),
+            )
         self.running = False
-        self.life += 1
-        self.rules.lost(self.here)
+        self.generation += 1
+        self.rules.proxy_killed(self.own_exchange)
         self.calls.clear()
 
-    def when_awake(self, run: Callable[..., None], *args: Any) -> None:
-        """Now, or when the process goes on, if it still is the same by then."""
+    def run_when_resumed(self, callback: Callable[..., None], *args: Any) -> None:
+        """Run now or, while the process is paused, when it resumes, provided that it is still the same process."""
         if self.engine.now >= self.paused_until:
-            run(*args)
+            callback(*args)
         else:
-            self.engine.at(self.paused_until, self._if_same, self.life, run, args)
+            self.engine.schedule_at(self.paused_until, self._run_if_same_process, self.generation, callback, args)
 
-    def _if_same(self, life: int, run: Callable[..., None], args: tuple[Any, ...]) -> None:
-        if life == self.life and self.running:
-            self.when_awake(run, *args)
+    def _run_if_same_process(self, generation: int, callback: Callable[..., None], args: tuple[Any, ...]) -> None:
+        if generation == self.generation and self.running:
+            self.run_when_resumed(callback, *args)
 
-    # --- what can happen ---
+    # --- events ---
 
-    def offered(
+    def dialog_received(
         self,
-        kind: int,
-        width: int,
-        far: int,
-        number: str,
+        traffic_type: int,
+        circuits: int,
+        destination: int,
+        caller_number: str,
         expires_in: int,
         transit: bool,
         redialled: bool,
-        cut: bool,
-        told: Callable[..., None],
-        source: Any = None,
+        after_cut: bool,
+        on_final: Callable[..., None],
+        caller: Any = None,
     ) -> Call:
-        """A dialog comes."""
         now = self.engine.now
-        call = Call(self.dialogs, kind, width, far, transit, told, now, source)
-        self.dialogs += 1
+        call = Call(self.dialog_count, traffic_type, circuits, destination, transit, on_final, now, caller)
+        self.dialog_count += 1
         self.calls[call.index] = call
-        self.rules.came(now, self.here, call.index, expires_in)
-        self.controller.dialog_received(now, call.index, kind, far, width, number, expires_in, transit, redialled, cut)
-        self._settle()
+        self.rules.dialog_received(now, self.own_exchange, call.index, expires_in)
+        self.controller.dialog_received(
+            now, call.index, traffic_type, destination, circuits, caller_number, expires_in, transit, redialled, after_cut
+        )
+        self._report_leg_ends()
         return call
 
-    def given_up(self, call: Call) -> None:
-        """The caller called off: answered at once."""
+    def dialog_cancelled(self, call: Call) -> None:
+        """The caller cancelled the dialog, which counts as its final answer."""
         if call.answered or call.index not in self.calls:
             return
-        self._final(call)
+        self._mark_answered(call)
         self.controller.dialog_cancelled(self.engine.now, call.index)
         if call.leg is not None:
-            self._give_up(call.leg, LegEnd.CANCELLED)
+            self._abandon_leg(call.leg, LegEnd.CANCELLED)
         else:
-            self._forget(call)
-        self._settle()
+            self._forget_call(call)
+        self._report_leg_ends()
 
-    def stood(self, leg: Leg) -> bool:
-        """A leg was answered; whether anybody still wanted it."""
+    def leg_answered(self, leg: Leg) -> bool:
+        """A leg was answered. False if the dialog no longer wants it, so that the network has to release it."""
         call = leg.call
-        if leg.over or leg.given_up or call.answered or not self._mine(leg):
+        if leg.finished or leg.abandoned or call.answered or not self._is_current(leg):
             return False
         self.circuits.leg_over(leg.number, id(leg))
-        call.stands = True
-        self._final(call)
-        call.told(200, 0, 0)
-        self.controller.dialog_established(self.engine.now, call.index, self.engine.now - leg.sent)
-        self._settle()
+        call.established = True
+        self._mark_answered(call)
+        call.on_final(200, 0, 0)
+        self.controller.dialog_established(self.engine.now, call.index, self.engine.now - leg.sent_at)
+        self._report_leg_ends()
         return True
 
-    def ended(self, leg: Leg, how: LegEnd, rsn: int = 0) -> None:
-        """A leg's end is known."""
-        if not self._mine(leg):
+    def leg_ended(self, leg: Leg, leg_end: LegEnd, rsn: int = 0) -> None:
+        if not self._is_current(leg):
             return
-        self.soon.append((leg, how, rsn))
-        self._settle()
+        self.pending_leg_ends.append((leg, leg_end, rsn))
+        self._report_leg_ends()
 
-    def listed(self, lines: list[tuple[str, int, GwState, int]]) -> None:
-        """The list tells: id, number, state, start."""
+    def exchange_list_received(self, lines: list[tuple[str, int, GwState, int]]) -> None:
+        """Lines of the exchange list: machine id, exchange number, state, start time."""
         now = self.engine.now
         entries = []
         for name, number, state, started in lines:
-            self.rules.word(now, self.here, name, state)
-            entries.append(ListEntry(self._gw(name, number), number, state, started))
-            self.words[name] = entries[-1]
+            self.rules.machine_listed(now, self.own_exchange, name, state)
+            entries.append(ListEntry(self._gw_of(name, number), number, state, started))
+            self.listed[name] = entries[-1]
         self.controller.exchange_list_received(now, entries, False)
         for number in {number for _, number, _, _ in lines}:
             free, size = self.circuits.count(number)
             if size >= 0:
-                self._group(number, free, size)
-        self._settle()
+                self._report_group(number, free, size)
+        self._report_leg_ends()
 
     def trunk_group_reported(self, number: int, free: int, size: int) -> None:
-        self._group(number, *self.circuits.told(number, free, size))
-        self._settle()
+        self._report_group(number, *self.circuits.told(number, free, size))
+        self._report_leg_ends()
 
-    def heard(self, told: bytes) -> None:
-        self.controller.peer_report_received(self.engine.now, told)
+    def peer_report_received(self, payload: bytes) -> None:
+        self.controller.peer_report_received(self.engine.now, payload)
 
-    # --- what the controller asks for ---
+    # --- actions of the controller (`Host`) ---
 
-    def send_leg(self, dialog: int, gw: int, limit: int) -> None:
-        call, now = self.calls[dialog], self.engine.now
-        leg = Leg(call, gw, self.numbers[gw], call.legs, now, self.life)
-        call.legs += 1
+    def send_leg(self, dialog_index: int, gw: int, time_limit: int) -> None:
+        call, now = self.calls[dialog_index], self.engine.now
+        leg = Leg(call, gw, self.exchange_of_gw[gw], call.leg_count, now, self.generation)
+        call.leg_count += 1
         call.leg = leg
-        self.rules.sent(now, self.here, dialog, self.ids[gw])
+        self.rules.leg_sent(now, self.own_exchange, dialog_index, self.machine_ids[gw])
         self._count("legs")
-        self.circuits.leg_sent(leg.number, id(leg), call.width)
-        self.engine.after(limit, self._limit, leg)
-        self.network.leg(self, leg, self.ids[gw], limit)
+        self.circuits.leg_sent(leg.number, id(leg), call.circuits)
+        self.engine.schedule_after(time_limit, self._leg_timed_out, leg)
+        self.network.send_leg(self, leg, self.machine_ids[gw], time_limit)
 
-    def cancel_leg(self, dialog: int, leg: int) -> None:
-        call = self.calls.get(dialog)
-        if call is not None and call.leg is not None and call.leg.place == leg:
-            self._give_up(call.leg, LegEnd.CANCELLED)
+    def cancel_leg(self, dialog_index: int, leg_index: int) -> None:
+        call = self.calls.get(dialog_index)
+        if call is not None and call.leg is not None and call.leg.index == leg_index:
+            self._abandon_leg(call.leg, LegEnd.CANCELLED)
 
-    def decline(self, dialog: int, hold_off: int) -> None:
-        call = self.calls[dialog]
+    def decline(self, dialog_index: int, hold_off: int) -> None:
+        call = self.calls[dialog_index]
         self._count("declined")
-        self._final(call)
-        call.told(503, 21 if call.transit and call.how is None else self._cause(call), -(-hold_off // SECOND))
+        self._mark_answered(call)
+        call.on_final(503, 21 if call.transit and call.leg_end is None else self._q850_cause(call), -(-hold_off // SECOND))
         if call.leg is None:
-            self._forget(call)
+            self._forget_call(call)
 
-    def abort(self, dialog: int) -> None:
-        call = self.calls[dialog]
+    def abort(self, dialog_index: int) -> None:
+        call = self.calls[dialog_index]
         self._count("aborted")
-        self._final(call)
-        call.told(408, 0, 0)
+        self._mark_answered(call)
+        call.on_final(408, 0, 0)
         if call.leg is None:
-            self._forget(call)
+            self._forget_call(call)
 
     def schedule_tick(self, delay: int) -> None:
-        self.engine.after(delay, self._beat, self.life)
+        self.engine.schedule_after(delay, self._tick, self.generation)
 
-    def send_to_peers(self, told: bytes) -> None:
-        self.network.say(self, told)
+    def send_to_peers(self, payload: bytes) -> None:
+        self.network.send_to_peers(self, payload)
 
     def subscribe(self) -> None:
-        pass  # the list comes unasked here
+        pass  # the emulated list is pushed without a subscription
 
-    # --- small parts ---
+    # --- helpers ---
 
-    def _beat(self, life: int) -> None:
-        if life != self.life or not self.running:
+    def _tick(self, generation: int) -> None:
+        if generation != self.generation or not self.running:
             return
         if self.engine.now < self.paused_until:
-            self.engine.at(self.paused_until, self._beat, life)
+            self.engine.schedule_at(self.paused_until, self._tick, generation)
             return
         self.controller.tick(self.engine.now)
-        self._settle()
+        self._report_leg_ends()
 
-    def _limit(self, leg: Leg) -> None:
-        if self._mine(leg) and not leg.over and not leg.given_up and not leg.call.stands:
-            self._give_up(leg, LegEnd.NO_ANSWER)
-            self._settle()
+    def _leg_timed_out(self, leg: Leg) -> None:
+        if self._is_current(leg) and not leg.finished and not leg.abandoned and not leg.call.established:
+            self._abandon_leg(leg, LegEnd.NO_ANSWER)
+            self._report_leg_ends()
 
-    def _mine(self, leg: Leg) -> bool:
-        return self.running and leg.proxy_life == self.life
+    def _is_current(self, leg: Leg) -> bool:
+        """Whether the process that sent the leg is still running."""
+        return self.running and leg.proxy_generation == self.generation
 
-    def _settle(self) -> None:
-        """Ends that arose while the controller was at work are told once it is done."""
-        if self.settling:
+    def _report_leg_ends(self) -> None:
+        """Report pending ends of legs to the controller. Ends that arise within one of its methods wait until that returns."""
+        if self.reporting:
             return
-        self.settling = True
-        while self.soon:
-            self._leg_over(*self.soon.pop(0))
-        self.settling = False
+        self.reporting = True
+        while self.pending_leg_ends:
+            self._finish_leg(*self.pending_leg_ends.pop(0))
+        self.reporting = False
 
-    def _leg_over(self, leg: Leg, how: LegEnd, rsn: int) -> None:
-        if leg.over:
+    def _finish_leg(self, leg: Leg, leg_end: LegEnd, rsn: int) -> None:
+        if leg.finished:
             return
         call, now = leg.call, self.engine.now
-        leg.over = True
+        leg.finished = True
         call.leg = None
-        call.how, call.rsn = how, rsn
+        call.leg_end, call.rsn = leg_end, rsn
         self.circuits.leg_over(leg.number, id(leg))
-        if how == LegEnd.FULL and rsn == Rsn.NO_CIRCUIT:
-            self.circuits.turned_back(now, leg.number, call.width)
-        self.rules.leg_over(now, self.here, call.index, how)
-        over = call.answered
-        if over:
-            self._forget(call)
-        self.controller.leg_ended(now, call.index, leg.gw, how, rsn, over, *self.circuits.count(leg.number))
-
-    def _give_up(self, leg: Leg, how: LegEnd) -> None:
-        if leg.over or leg.given_up:
+        if leg_end == LegEnd.FULL and rsn == Rsn.NO_CIRCUIT:
+            self.circuits.turned_back(now, leg.number, call.circuits)
+        self.rules.leg_ended(now, self.own_exchange, call.index, leg_end)
+        finished = call.answered
+        if finished:
+            self._forget_call(call)
+        self.controller.leg_ended(now, call.index, leg.gw, leg_end, rsn, finished, *self.circuits.count(leg.number))
+
+    def _abandon_leg(self, leg: Leg, leg_end: LegEnd) -> None:
+        if leg.finished or leg.abandoned:
             return
-        leg.given_up = True
-        self.network.cancel(leg)
-        self.soon.append((leg, how, 0))
+        leg.abandoned = True
+        self.network.cancel_leg(leg)
+        self.pending_leg_ends.append((leg, leg_end, 0))
 
-    def _final(self, call: Call) -> None:
+    def _mark_answered(self, call: Call) -> None:
         call.answered = True
-        self.rules.answered(self.engine.now, self.here, call.index)
+        self.rules.dialog_answered(self.engine.now, self.own_exchange, call.index)
 
-    def _forget(self, call: Call) -> None:
+    def _forget_call(self, call: Call) -> None:
         self.calls.pop(call.index, None)
-        self.rules.over(self.here, call.index)
+        self.rules.dialog_ended(self.own_exchange, call.index)
 
-    def _cause(self, call: Call) -> int:
-        if call.how == LegEnd.BUSY:
+    def _q850_cause(self, call: Call) -> int:
+        if call.leg_end == LegEnd.BUSY:
             return 17
         return 42 if call.rsn in (Rsn.PROCESSOR_FULL, Rsn.BEYOND_TANDEM_FULL) else 21 if call.transit else 34
 
-    def _group(self, number: int, free: int, size: int) -> None:
-        for gw, held in enumerate(self.numbers):
-            if held == number and gw in self.controller.exchanges:
+    def _report_group(self, number: int, free: int, size: int) -> None:
+        for gw, exchange in enumerate(self.exchange_of_gw):
+            if exchange == number and gw in self.controller.exchanges:
                 self.controller.trunk_group_reported(self.engine.now, gw, free, size)
 
-    def _gw(self, name: str, number: int) -> int:
-        gw = self.gws.get(name)
+    def _gw_of(self, name: str, number: int) -> int:
+        """The index of a machine, which is assigned when its id is first seen."""
+        gw = self.gw_by_id.get(name)
         if gw is None:
-            gw = self.gws[name] = len(self.ids)
-            self.ids.append(name)
-            self.numbers.append(number)
-        self.numbers[gw] = number
+            gw = self.gw_by_id[name] = len(self.machine_ids)
+            self.machine_ids.append(name)
+            self.exchange_of_gw.append(number)
+        self.exchange_of_gw[gw] = number
         return gw
 
-    def _count(self, what: str) -> None:
-        self.counts[what] = self.counts.get(what, 0) + 1
+    def _count(self, event: str) -> None:
+        self.counts[event] = self.counts.get(event, 0) + 1
--- a/gingergap/emulator/theory.py
+++ b/gingergap/emulator/theory.py
@@ -1,48 +1,48 @@
-"""What theory says where it has the answer: Erlang's formulas, one line with steady service, alternate routes by fixed point.
-Pure."""
+"""Analytical results that the emulator is checked against: Erlang's formulas, the M/D/1 queue, and the fixed-point approximation
+of alternate routing. Pure functions."""
 
 
 def erlang_b(load: float, circuits: int) -> float:
-    """The part of a load (erlangs) that finds all circuits taken (Erlang 1917), by its recursion."""
-    blocked = 1.0
+    """Blocking probability of a load in erlangs on a group of circuits (Erlang 1917), by recursion."""
+    blocking = 1.0
     for number in range(1, circuits + 1):
-        blocked = load * blocked / (number + load * blocked)
-    return blocked
+        blocking = load * blocking / (number + load * blocking)
+    return blocking
 
 
-def erlang_c(load: float, lines: int) -> float:
-    """The part that has to wait for one of several lines."""
-    if load >= lines:
+def erlang_c(load: float, servers: int) -> float:
+    """Probability that an arrival has to wait for one of several servers; `load` in erlangs."""
+    if load >= servers:
         return 1.0
-    blocked = erlang_b(load, lines)
-    return lines * blocked / (lines - load * (1 - blocked))
+    blocking = erlang_b(load, servers)
+    return servers * blocking / (servers - load * (1 - blocking))
 
 
-def md1_wait(rate: float, service: float) -> float:
-    """Mean wait before one line with steady service (Pollaczek and Khinchine), in the units of `service`."""
-    busy = rate * service
-    return float("inf") if busy >= 1 else busy * service / (2 * (1 - busy))
+def md1_wait(rate: float, service_time: float) -> float:
+    """Mean waiting time of an M/D/1 queue (Pollaczek and Khinchine), in the unit of `service_time`."""
+    utilisation = rate * service_time
+    return float("inf") if utilisation >= 1 else utilisation * service_time / (2 * (1 - utilisation))
 
 
 def reserved_blocking(direct: float, overflow: float, circuits: int, reserved: int) -> tuple[float, float]:
-    """Blocking of direct and of two-leg dialogs on one group that keeps circuits for direct ones, as a birth and death
-    chain."""
+    """Blocking of direct dialogs and of two-leg dialogs on one group with circuits reserved for direct ones, from the stationary
+    distribution of a birth and death chain. Loads in erlangs."""
     weights = [1.0]
     for busy in range(circuits):
         rate = direct + (overflow if busy < circuits - reserved else 0.0)
         weights.append(weights[-1] * rate / (busy + 1))
-    whole = sum(weights)
-    return weights[-1] / whole, sum(weights[circuits - reserved :]) / whole
+    total = sum(weights)
+    return weights[-1] / total, sum(weights[circuits - reserved :]) / total
 
 
 def reservation_fixed_point(load: float, circuits: int, reserved: int, tandems: int, rounds: int = 2_000) -> float:
-    """The part of dialogs lost in a full symmetric mesh with direct-first routing, up to so many random tandems and
-    reservation: links are taken to be independent (Akinpelu 1984; Mitra and Gibbens 1992)."""
+    """Share of dialogs lost in a full symmetric mesh with direct routes first, then up to `tandems` random tandems, and trunk
+    reservation. Links are assumed to be independent (Akinpelu 1984; Mitra and Gibbens 1992). `load` in erlangs a group."""
     direct, two_legs, overflow = erlang_b(load, circuits), 0.0, 0.0
     for _ in range(rounds):
-        way = (1 - two_legs) ** 2
-        tried = sum((1 - way) ** number for number in range(tandems))
-        fresh = 2 * load * direct * tried * (1 - two_legs)  # both legs of each try that the first leg does not end
-        overflow += 0.2 * (fresh - overflow)
+        route_free = (1 - two_legs) ** 2
+        attempts = sum((1 - route_free) ** number for number in range(tandems))
+        offered = 2 * load * direct * attempts * (1 - two_legs)  # the second leg is only tried if the first one succeeds
+        overflow += 0.2 * (offered - overflow)
         direct, two_legs = reserved_blocking(load, overflow, circuits, reserved)
     return direct * (1 - (1 - two_legs) ** 2) ** tandems
--- a/gingergap/experiments/results.py
+++ b/gingergap/experiments/results.py
@@ -1,4 +1,5 @@
-"""Results as Parquet: one part for each flush, whole or not there at all, so that an experiment killed at any moment goes on."""
+"""Results of an experiment as Parquet files: each flush writes one part and renames it into place, so that an experiment that is
+killed at any moment can be resumed."""
 
 import os
 from pathlib import Path
@@ -33,17 +34,20 @@
 
 
 class Results:
-    """All rows of one experiment in a folder. Raises OSError; a part that can't be read is told in `damage` and left out."""
+    """All rows of one experiment, stored in a folder.
+
+    `rows` by cell, policy and seed; `damage` describes the parts that could not be read, whose rows are missing. Raises OSError.
+    """
 
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         folder.mkdir(parents=True, exist_ok=True)
         self.rows: dict[tuple[str, str, int], dict[str, Any]] = {}
-        self.held: list[dict[str, Any]] = []
+        self.unwritten: list[dict[str, Any]] = []
         self.damage: list[str] = []
-        self.parts = 0
+        self.next_part = 0
         for path in sorted(folder.glob("part-*.parquet")):
-            self.parts = max(self.parts, int(path.stem.partition("-")[2]) + 1)
+            self.next_part = max(self.next_part, int(path.stem.partition("-")[2]) + 1)
             try:
                 table = pyarrow.parquet.read_table(path, schema=SCHEMA)
             except (pyarrow.ArrowInvalid, OSError) as error:
@@ -52,19 +56,20 @@
             for row in table.to_pylist():
                 self.rows[row["cell"], row["policy"], row["seed"]] = row
 
-    def put(self, row: dict[str, Any]) -> None:
+    def add(self, row: dict[str, Any]) -> None:
+        """Add a row, which is written by the next `flush`."""
         self.rows[row["cell"], row["policy"], row["seed"]] = row
-        self.held.append(row)
+        self.unwritten.append(row)
 
     def flush(self) -> None:
-        if not self.held:
+        if not self.unwritten:
             return
-        path = self.folder / f"part-{self.parts:06d}.parquet"
-        aside = path.with_suffix(".new")
-        pyarrow.parquet.write_table(pyarrow.Table.from_pylist(self.held, schema=SCHEMA), aside, compression="zstd")
-        os.replace(aside, path)
-        self.parts += 1
-        self.held.clear()
+        path = self.folder / f"part-{self.next_part:06d}.parquet"
+        temporary_path = path.with_suffix(".new")
+        pyarrow.parquet.write_table(pyarrow.Table.from_pylist(self.unwritten, schema=SCHEMA), temporary_path, compression="zstd")
+        os.replace(temporary_path, path)
+        self.next_part += 1
+        self.unwritten.clear()
 
     def values(self, cell: str, policy: str, measure: str, seeds: list[int]) -> list[float]:
         return [self.rows[cell, policy, seed][measure] for seed in seeds]
--- a/gingergap/experiments/search.py
+++ b/gingergap/experiments/search.py
@@ -1,20 +1,19 @@
-"""Bad days: drawn over the fault space, the worst one shrunk to the least that still shows it.
+"""Searches the fault space at random for days that the module handles badly, and shrinks the worst one to a minimal example.
 
-A day is bad by how much the module serves less than the best baseline on the same day (what it gives away for nothing), and
-worse than any of these where it breaks a rule. Shrinking takes away whatever can be taken away: faults, their length,
-exchanges, the length of the day. Pure but for the days it has run.
+The badness of a day is the service of the best baseline less that of the module on the same day; a day on which the module breaks
+a rule is worse than any other. Shrinking removes faults, shortens them and the day, and removes exchanges. No I/O.
 """
 
 from collections.abc import Callable, Iterator
 from random import Random
 from typing import NamedTuple
 
+from ..emulator.baselines import baseline_factory
 from ..emulator.day import Day
-from ..emulator.policies import baseline
 from ..settings.day import DayForm, FaultForm
 
 BASELINES = ("direct", "random tandem", "reservation")
-DRAWN = (
+FAULT_KINDS = (
     "burst",
     "flood",
     "slow",
@@ -37,88 +36,90 @@
     "loss",
     "delay",
 )
-PARTS = frozenset({"answers-lost", "messages-lost", "loss"})  # kinds whose factor is a part
-BROKEN = 10.0  # a broken rule is worse than any service
+FACTOR_IS_SHARE = frozenset(
+    {"answers-lost", "messages-lost", "loss"}
+)  # kinds whose factor is a probability or share, not a multiple
+BROKEN_RULE_BADNESS = 10.0  # above any difference of service, which is at most 1
 
 
-class Found(NamedTuple):
-    """A day with its seed, how bad it is, and the baseline that did better there (empty for a broken rule)."""
+class BadDay(NamedTuple):
+    """A day with its seed, its badness, and the best baseline on it (empty if a rule was broken)."""
 
     badness: float
     day: DayForm
     seed: int
-    than: str
+    better_baseline: str
 
 
-def faults(draw: Random, seconds: float, most: int) -> list[FaultForm]:
-    """One to so many troubles, of any kind, anywhere within the day."""
+def draw_faults(rng: Random, seconds: float, max_faults: int) -> list[FaultForm]:
+    """One to `max_faults` faults of any kind, at any time within a day of so many seconds."""
     drawn = []
-    for _ in range(draw.randint(1, most)):
-        kind = draw.choice(DRAWN)
-        at = round(draw.uniform(0.1, 0.7) * seconds, 1)
-        lasts = round(min(seconds - at, draw.uniform(0.05, 0.3) * seconds), 1)
-        factor = round(draw.uniform(0.05, 0.9), 2) if kind in PARTS else round(draw.uniform(1.3, 6.0), 1)
+    for _ in range(rng.randint(1, max_faults)):
+        kind = rng.choice(FAULT_KINDS)
+        at = round(rng.uniform(0.1, 0.7) * seconds, 1)
+        lasts = round(min(seconds - at, rng.uniform(0.05, 0.3) * seconds), 1)
+        factor = round(rng.uniform(0.05, 0.9), 2) if kind in FACTOR_IS_SHARE else round(rng.uniform(1.3, 6.0), 1)
         drawn.append(
             FaultForm(
                 kind=kind,
                 at=at,
                 lasts=max(0.1, lasts),
-                share=round(draw.uniform(0.05, 1.0), 2),
+                share=round(rng.uniform(0.05, 1.0), 2),
                 factor=factor,
-                ms=round(draw.uniform(20, 2_000)),
-                every_ms=round(draw.uniform(400, 3_000)),
+                ms=round(rng.uniform(20, 2_000)),
+                every_ms=round(rng.uniform(400, 3_000)),
             )
         )
     return drawn
 
 
-def judged(day: DayForm, seed: int) -> tuple[float, str]:
-    """How bad a day is, and against whom."""
+def judge_day(day: DayForm, seed: int) -> tuple[float, str]:
+    """The badness of a day, and the best baseline on it (empty if the module broke a rule)."""
     run = Day(day, seed).run()
-    if not run.rules.kept:
-        return BROKEN, ""
-    service = run.figures()["service"]
-    others = [(Day(day, seed, baseline(name, seed)).run().figures()["service"], name) for name in BASELINES]
-    best, name = max(others)
+    if not run.rules.all_kept:
+        return BROKEN_RULE_BADNESS, ""
+    service = run.summary()["service"]
+    baselines = [(Day(day, seed, baseline_factory(name, seed)).run().summary()["service"], name) for name in BASELINES]
+    best, name = max(baselines)
     return best - service, name
 
 
-def searched(day: DayForm, seed: int, many: int, most_faults: int) -> Iterator[Found]:
-    """So many drawn days, each as bad as it is."""
-    draw = Random(f"bad days {seed}")
-    for number in range(many):
-        drawn = day.model_copy(update={"fault": faults(draw, day.seconds, most_faults)})
-        badness, than = judged(drawn, seed + number)
-        yield Found(badness, drawn, seed + number, than)
+def search_days(day: DayForm, seed: int, count: int, max_faults: int) -> Iterator[BadDay]:
+    """Draws so many days from `day` and judges each; the seed of each day is its number added to `seed`."""
+    rng = Random(f"bad days {seed}")
+    for number in range(count):
+        drawn = day.model_copy(update={"fault": draw_faults(rng, day.seconds, max_faults)})
+        badness, better_baseline = judge_day(drawn, seed + number)
+        yield BadDay(badness, drawn, seed + number, better_baseline)
 
 
-def smaller(day: DayForm) -> Iterator[DayForm]:
-    """Days with one thing less, the largest steps first."""
-    for place in range(len(day.fault)):
-        yield day.model_copy(update={"fault": [*day.fault[:place], *day.fault[place + 1 :]]})
+def smaller_days(day: DayForm) -> Iterator[DayForm]:
+    """Variants of a day with one element removed or reduced, in the order of the size of the step."""
+    for index in range(len(day.fault)):
+        yield day.model_copy(update={"fault": [*day.fault[:index], *day.fault[index + 1 :]]})
     last = max((fault.at + fault.lasts for fault in day.fault), default=0.0)
     if day.seconds > last + 4:
         yield day.model_copy(update={"seconds": round(last + 3, 1)})
     if day.exchanges > 4:
         yield day.model_copy(update={"exchanges": day.exchanges - max(1, day.exchanges // 4)})
-    for place, fault in enumerate(day.fault):
+    for index, fault in enumerate(day.fault):
         if fault.lasts > 0.5:
             shorter = fault.model_copy(update={"lasts": round(fault.lasts / 2, 2)})
-            yield day.model_copy(update={"fault": [*day.fault[:place], shorter, *day.fault[place + 1 :]]})
-
-
-def shrunk(found: Found, keeps: float, judge: Callable[[DayForm, int], tuple[float, str]] = judged) -> Found:
-    """The least day that is still at least `keeps` as bad (a part of how bad it was; a broken rule stays one)."""
-    if found.badness <= 0:
-        return found
-    least = BROKEN if found.badness >= BROKEN else found.badness * keeps
-    went = True
-    while went:
-        went = False
-        for day in smaller(found.day):
-            badness, than = judge(day, found.seed)
-            if badness >= least:
-                found = Found(badness, day, found.seed, than)
-                went = True
+            yield day.model_copy(update={"fault": [*day.fault[:index], shorter, *day.fault[index + 1 :]]})
+
+
+def shrink_day(bad_day: BadDay, min_share: float, judge: Callable[[DayForm, int], tuple[float, str]] = judge_day) -> BadDay:
+    """Shrink a day while it keeps at least `min_share` of its badness; a day that breaks a rule must still break one."""
+    if bad_day.badness <= 0:
+        return bad_day
+    min_badness = BROKEN_RULE_BADNESS if bad_day.badness >= BROKEN_RULE_BADNESS else bad_day.badness * min_share
+    changed = True
+    while changed:
+        changed = False
+        for day in smaller_days(bad_day.day):
+            badness, better_baseline = judge(day, bad_day.seed)
+            if badness >= min_badness:
+                bad_day = BadDay(badness, day, bad_day.seed, better_baseline)
+                changed = True
                 break
-    return found
+    return bad_day
