--- a/benchmarks/calls.py
+++ b/benchmarks/calls.py
@@ -1,8 +1,7 @@
-"""Speed and memory of one edge process, as ratios to a plain relay of the same messages in the same run.
+"""Throughput and memory of one edge process, as ratios to a plain relay of the same messages in the same run.
 
-Three processes beside the one that is measured: a caller and an exchange that are as cheap as can be (bytes cut and
-joined, no SIP stack), so that what is measured is the edge. Everything goes over UDP on loopback. Figures are of
-this machine and this run; only ratios are worth comparing.
+The load generator and the exchange split and join bytes without a SIP stack, so that the edge is the bottleneck. All messages go
+over UDP on loopback. Absolute figures depend on the machine; only ratios are comparable.
 
     python benchmarks/calls.py [--seconds 4] [--far 4] [--memory] [--profile FILE]
 """
@@ -28,10 +27,10 @@
 
 HOST = "127.0.0.1"
 BODY = b"v=0\r\no=- 1 1 IN IP4 127.0.0.1\r\ns=-\r\nc=IN IP4 127.0.0.1\r\nt=0 0\r\nm=audio 40000 RTP/AVP 8\r\n"
-HEADS = re.compile(rb"\r\n(?:Via|From|To|Call-ID|CSeq|Record-Route):[^\r]*")
+COPIED_FIELDS = re.compile(rb"\r\n(?:Via|From|To|Call-ID|CSeq|Record-Route):[^\r]*")
 
 
-def datagrams(port=0):
+def udp_socket(port=0):
     sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 8 << 20)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8 << 20)
@@ -39,9 +38,9 @@
     return sock
 
 
-def exchange(port, far):
-    """Answers everything at once to where it came from; tells a proxy that subscribes of endless circuits."""
-    sock = datagrams(port)
+def exchange(port, exchanges):
+    """Answers every request at once to its source address; reports practically unlimited free circuits to subscribers."""
+    sock = udp_socket(port)
     contact = b"\r\nContact: <sip:x@127.0.0.1:%d>\r\nContent-Type: application/sdp\r\nContent-Length: %d\r\n\r\n" % (
         port,
         len(BODY),
@@ -50,37 +49,37 @@
         data, peer = sock.recvfrom(65_536)
         if data.startswith(b"ACK") or data.startswith(b"SIP"):
             continue
-        kept = b"".join(HEADS.findall(data))
+        copied = b"".join(COPIED_FIELDS.findall(data))
         if data.startswith(b"SUBSCRIBE"):
-            heads = dict(part.strip().split(b": ", 1) for part in HEADS.findall(data))
-            kept = re.sub(rb"(\r\nTo:[^\r]*)", rb"\1;tag=s", kept, count=1)
-            sock.sendto(b"SIP/2.0 200 OK" + kept + b"\r\nExpires: 3600\r\nContent-Length: 0\r\n\r\n", peer)
+            fields = dict(field.strip().split(b": ", 1) for field in COPIED_FIELDS.findall(data))
+            copied = re.sub(rb"(\r\nTo:[^\r]*)", rb"\1;tag=s", copied, count=1)
+            sock.sendto(b"SIP/2.0 200 OK" + copied + b"\r\nExpires: 3600\r\nContent-Length: 0\r\n\r\n", peer)
             body = json.dumps(
                 {
                     "version": 1,
                     "state": "full",
                     "epoch": "e",
-                    "groups": [{"number": number, "free": 1 << 20, "size": 1 << 20} for number in range(1, far + 1)],
+                    "groups": [{"number": number, "free": 1 << 20, "size": 1 << 20} for number in range(1, exchanges + 1)],
                 }
             ).encode()
             sock.sendto(
                 b"NOTIFY sip:p SIP/2.0\r\nVia: SIP/2.0/UDP 127.0.0.1:%d;branch=z9hG4bKn\r\nFrom: %s;tag=s\r\nTo: %s\r\n"
                 b"Call-ID: %s\r\nCSeq: 1 NOTIFY\r\nEvent: trunk-groups\r\nSubscription-State: active\r\n"
-                b"Content-Length: %d\r\n\r\n%s" % (port, heads[b"To"], heads[b"From"], heads[b"Call-ID"], len(body), body),
+                b"Content-Length: %d\r\n\r\n%s" % (port, fields[b"To"], fields[b"From"], fields[b"Call-ID"], len(body), body),
                 peer,
             )
         elif data.startswith(b"INVITE"):
-            kept = re.sub(rb"(\r\nTo:[^\r]*)", rb"\1;tag=x", kept, count=1)
-            sock.sendto(b"SIP/2.0 200 OK" + kept + contact + BODY, peer)
+            copied = re.sub(rb"(\r\nTo:[^\r]*)", rb"\1;tag=x", copied, count=1)
+            sock.sendto(b"SIP/2.0 200 OK" + copied + contact + BODY, peer)
         else:
-            sock.sendto(b"SIP/2.0 200 OK" + kept + b"\r\nContent-Length: 0\r\n\r\n", peer)
+            sock.sendto(b"SIP/2.0 200 OK" + copied + b"\r\nContent-Length: 0\r\n\r\n", peer)
 
 
 def relay(port, target):
-    """The baseline: gevent, one socket, each datagram received, split into lines and sent on."""
-    from gevent import socket as blocking
+    """The baseline: a gevent relay with one socket that splits each datagram into lines and forwards it."""
+    from gevent import socket as gevent_socket
 
-    sock = blocking.socket(blocking.AF_INET, blocking.SOCK_DGRAM)
+    sock = gevent_socket.socket(gevent_socket.AF_INET, gevent_socket.SOCK_DGRAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 8 << 20)
     sock.bind((HOST, port))
     caller = None
@@ -94,35 +93,35 @@
             sock.sendto(data, target)
 
 
-class Caller:
-    """Whole calls from INVITE to BYE against `target`: as many at once as `window`, or `rate` a second."""
+class LoadGenerator:
+    """Places complete calls, from INVITE to BYE, through `target` to so many exchanges. Times in seconds."""
 
-    def __init__(self, target, far):
-        self.sock = datagrams()
+    def __init__(self, target, exchanges):
+        self.sock = udp_socket()
         self.sock.setblocking(False)
         self.port = self.sock.getsockname()[1]
-        self.target, self.far = target, far
+        self.target, self.exchanges = target, exchanges
         self.serial = 0
         self.run_id = os.urandom(4).hex().encode()
-        self.began = {}
-        self.took = []
-        self.done = self.failed = 0
+        self.started_at = {}
+        self.setup_times = []
+        self.completed = self.failed = 0
 
     def invite(self):
         self.serial += 1
         call = b"%s%x" % (self.run_id, self.serial)
-        number = b"0%02d555%06d" % (self.serial % self.far + 1, self.serial % 1_000_000)
+        number = b"0%02d555%06d" % (self.serial % self.exchanges + 1, self.serial % 1_000_000)
         data = (
             b"INVITE sip:%s@127.0.0.1 SIP/2.0\r\nVia: SIP/2.0/UDP 127.0.0.1:%d;branch=z9hG4bK%s\r\nMax-Forwards: 70\r\n"
             b"From: <sip:c@127.0.0.1>;tag=c\r\nTo: <sip:%s@127.0.0.1>\r\nCall-ID: %s\r\nCSeq: 1 INVITE\r\n"
             b"Contact: <sip:c@127.0.0.1:%d>\r\nExpires: 30\r\nContent-Type: application/sdp\r\nContent-Length: %d\r\n\r\n%s"
             % (number, self.port, call, number, call, self.port, len(BODY), BODY)
         )
-        self.began[call] = time.perf_counter()
+        self.started_at[call] = time.perf_counter()
         self.sock.sendto(data, self.target)
 
-    def take(self, release=True):
-        """Read what has come; how many calls ended."""
+    def receive(self, release=True):
+        """Process all received datagrams; returns how many calls ended."""
         ended = 0
         while True:
             try:
@@ -134,24 +133,24 @@
                 continue
             call = data[data.index(b"Call-ID: ") + 9 :].split(b"\r\n", 1)[0]
             if b"CSeq: 1 INVITE" in data:
-                started = self.began.pop(call, None)
+                started = self.started_at.pop(call, None)
                 if started is None:
                     continue
-                self.took.append(time.perf_counter() - started)
+                self.setup_times.append(time.perf_counter() - started)
                 if status != b"200":
                     self.failed += 1
                     ended += 1
                     continue
-                self.within(b"ACK", 1, call, data)
+                self.send_in_dialog(b"ACK", 1, call, data)
                 if release:
-                    self.within(b"BYE", 2, call, data)
+                    self.send_in_dialog(b"BYE", 2, call, data)
                 else:
                     ended += 1
             else:
-                self.done += 1
+                self.completed += 1
                 ended += 1
 
-    def within(self, method, number, call, answer):
+    def send_in_dialog(self, method, number, call, answer):
         to = re.search(rb"\r\nTo: ([^\r]*)", answer)[1]
         contact = re.search(rb"\r\nContact: <([^>]*)", answer)[1]
         routes = b"".join(b"Route: %s\r\n" % route for route in re.findall(rb"\r\nRecord-Route: ([^\r]*)", answer)[::-1])
@@ -162,46 +161,46 @@
             self.target,
         )
 
-    def closed(self, window, seconds, most=None, release=True):
-        """Calls a second with `window` at once."""
+    def run_window(self, window, seconds, max_calls=None, release=True):
+        """Closed loop with `window` calls in flight; returns calls a second. Stops early if no call ends for two seconds."""
         start = time.perf_counter()
         for _ in range(window):
             self.invite()
-        out, ended = window, 0
-        last = start
-        while time.perf_counter() - start < seconds and (most is None or ended < most):
+        in_flight, ended = window, 0
+        last_ended_at = start
+        while time.perf_counter() - start < seconds and (max_calls is None or ended < max_calls):
             select.select([self.sock], [], [], 0.2)
-            now = self.take(release)
-            if now:
-                last = time.perf_counter()
-            ended += now
-            out -= now
-            while out < window and (most is None or self.serial < most):
+            just_ended = self.receive(release)
+            if just_ended:
+                last_ended_at = time.perf_counter()
+            ended += just_ended
+            in_flight -= just_ended
+            while in_flight < window and (max_calls is None or self.serial < max_calls):
                 self.invite()
-                out += 1
-            if time.perf_counter() - last > 2:
+                in_flight += 1
+            if time.perf_counter() - last_ended_at > 2:
                 break
         if self.failed:
             raise SystemExit(f"{self.failed} of {self.serial} calls failed: no figure is worth giving")
-        return ended / (last - start)
+        return ended / (last_ended_at - start)
 
-    def paced(self, rate, seconds):
-        """Set-up times in ms of calls that start by the clock, whatever came of those before."""
-        self.took.clear()
+    def run_rate(self, rate, seconds):
+        """Open loop at `rate` calls a second; returns percentiles of the set-up time in ms and the number of calls."""
+        self.setup_times.clear()
         start = time.perf_counter()
         sent = 0
-        while (now := time.perf_counter() - start) < seconds:
-            while sent < now * rate:
+        while (elapsed := time.perf_counter() - start) < seconds:
+            while sent < elapsed * rate:
                 self.invite()
                 sent += 1
             select.select([self.sock], [], [], 0.0005)
-            self.take()
+            self.receive()
         until = time.perf_counter() + 0.5
         while time.perf_counter() < until:
             select.select([self.sock], [], [], 0.05)
-            self.take()
-        took = sorted(self.took)
-        return {"p50": took[len(took) // 2] * 1000, "p99": took[int(len(took) * 0.99)] * 1000, "calls": len(took)}
+            self.receive()
+        times = sorted(self.setup_times)
+        return {"p50": times[len(times) // 2] * 1000, "p99": times[int(len(times) * 0.99)] * 1000, "calls": len(times)}
 
 
 def start(target, *args):
@@ -210,8 +209,8 @@
     return process
 
 
-def await_answer(port):
-    probe = datagrams()
+def wait_until_answering(port):
+    probe = udp_socket()
     probe.settimeout(0.1)
     while True:
         probe.sendto(
@@ -226,8 +225,9 @@
             time.sleep(0.02)
 
 
-def edge(folder, port, exchange_port, far, profile=None, t1=500, name="bench", **more):
-    path = folder / f"{name}-{far}.sexp"
+def start_edge(folder, port, exchange_port, exchanges, profile=None, t1=500, name="bench", **settings):
+    """Start an edge process with one exchange more than `exchanges`, all at `exchange_port`; returns once it answers."""
+    path = folder / f"{name}-{exchanges}.sexp"
     path.write_text(
         format_settings(
             "edge",
@@ -240,18 +240,18 @@
             drain_limit_s=0.5,
             exchange=[
                 {"number": number, "id": f"x{number}", "address": f"{HOST}:{exchange_port}", "prefix": [f"0{number:02d}"]}
-                for number in range(far + 1)
+                for number in range(exchanges + 1)
             ],
             traffic_type=[{"name": "voice", "setup_objective_ms": 1500, "no_answer_time_ms": 9000}],
             bounds={"dialogs": 100_000, "transactions": 5_000_000},
-            **more,
+            **settings,
         )
     )
-    words = [sys.executable]
+    command = [sys.executable]
     if profile:
-        words += ["-m", "cProfile", "-o", profile]
-    process = subprocess.Popen([*words, "-m", "gingergap", "edge", "run", "--settings", str(path)])
-    await_answer(port)
+        command += ["-m", "cProfile", "-o", profile]
+    process = subprocess.Popen([*command, "-m", "gingergap", "edge", "run", "--settings", str(path)])
+    wait_until_answering(port)
     time.sleep(0.2)
     return process
 
@@ -262,27 +262,27 @@
 
 
 def memory(folder, exchange_port, result):
-    """What a standing dialog takes once its transactions are over, and whether finished ones leave anything."""
+    """Memory of an established dialog after its transactions have ended, and growth over finished calls."""
     (port,) = free_ports(1)
-    process = edge(folder, port, exchange_port, 4, t1=20)
-    seen = psutil.Process(process.pid)
-    warm = Caller((HOST, port), 4)
-    warm.closed(64, 60, 2_000)
+    process = start_edge(folder, port, exchange_port, 4, t1=20)
+    watched = psutil.Process(process.pid)
+    warm_up = LoadGenerator((HOST, port), 4)
+    warm_up.run_window(64, 60, 2_000)
     time.sleep(4)
-    base = seen.memory_info().rss
-    many = 5_000
-    Caller((HOST, port), 4).closed(64, 60, many, release=False)
+    base_rss = watched.memory_info().rss
+    dialogs = 5_000
+    LoadGenerator((HOST, port), 4).run_window(64, 60, dialogs, release=False)
     time.sleep(4)
-    result["standing_dialog_kb"] = round((seen.memory_info().rss - base) / many / 1024, 2)
+    result["standing_dialog_kb"] = round((watched.memory_info().rss - base_rss) / dialogs / 1024, 2)
     stop(process)
     (port,) = free_ports(1)
-    process = edge(folder, port, exchange_port, 4, t1=20)
-    seen = psutil.Process(process.pid)
+    process = start_edge(folder, port, exchange_port, 4, t1=20)
+    watched = psutil.Process(process.pid)
     sizes = []
     for _ in range(5):
-        Caller((HOST, port), 4).closed(64, 120, 20_000)
+        LoadGenerator((HOST, port), 4).run_window(64, 120, 20_000)
         time.sleep(4)
-        sizes.append(round(seen.memory_info().rss / 2**20, 1))
+        sizes.append(round(watched.memory_info().rss / 2**20, 1))
     result["rss_mb_after_each_20000_calls"] = sizes
     stop(process)
 
@@ -292,30 +292,30 @@
     parser.add_argument("--seconds", type=float, default=4)
     parser.add_argument("--rounds", type=int, default=3)
     parser.add_argument("--memory", action="store_true", help="also measure memory (some minutes)")
-    parser.add_argument("--profile", help="write a cProfile of the edge there and do nothing else")
-    options = parser.parse_args()
+    parser.add_argument("--profile", help="only write a cProfile of the edge to this file")
+    arguments = parser.parse_args()
     resource.setrlimit(resource.RLIMIT_NOFILE, (4096, resource.getrlimit(resource.RLIMIT_NOFILE)[1]))
     exchange_port, relay_port = free_ports(2)
     result = {"cores": psutil.cpu_count(), "python": sys.version.split()[0]}
     with tempfile.TemporaryDirectory() as folder:
         folder = Path(folder)
         start(exchange, exchange_port, 60)
-        await_answer(exchange_port)
-        if options.profile:
+        wait_until_answering(exchange_port)
+        if arguments.profile:
             (port,) = free_ports(1)
-            process = edge(folder, port, exchange_port, 4, options.profile)
-            print(Caller((HOST, port), 4).closed(64, options.seconds))
+            process = start_edge(folder, port, exchange_port, 4, arguments.profile)
+            print(LoadGenerator((HOST, port), 4).run_window(64, arguments.seconds))
             stop(process)
             return
         start(relay, relay_port, (HOST, exchange_port))
         time.sleep(0.5)
         rounds = {"relay": [], "edge 4": [], "edge 60": []}
-        for _ in range(options.rounds):  # taken in turn, so that a noisy spell touches all alike
-            rounds["relay"].append(Caller((HOST, relay_port), 4).closed(64, options.seconds))
-            for far in (4, 60):
+        for _ in range(arguments.rounds):  # in turn, so that a disturbance of the machine affects all alike
+            rounds["relay"].append(LoadGenerator((HOST, relay_port), 4).run_window(64, arguments.seconds))
+            for exchanges in (4, 60):
                 (port,) = free_ports(1)
-                process = edge(folder, port, exchange_port, far)
-                rounds[f"edge {far}"].append(Caller((HOST, port), far).closed(64, options.seconds))
+                process = start_edge(folder, port, exchange_port, exchanges)
+                rounds[f"edge {exchanges}"].append(LoadGenerator((HOST, port), exchanges).run_window(64, arguments.seconds))
                 stop(process)
         for name, rates in rounds.items():
             result[f"{name} calls/s"] = {
@@ -323,17 +323,19 @@
                 "median": round(statistics.median(rates)),
                 "max": round(max(rates)),
             }
-        carried = statistics.median(rounds["edge 4"])
-        result["edge to relay"] = round(carried / statistics.median(rounds["relay"]), 3)
-        result["60 far ends to 4"] = round(statistics.median(rounds["edge 60"]) / carried, 3)
+        edge_rate = statistics.median(rounds["edge 4"])
+        result["edge to relay"] = round(edge_rate / statistics.median(rounds["relay"]), 3)
+        result["60 far ends to 4"] = round(statistics.median(rounds["edge 60"]) / edge_rate, 3)
         (port,) = free_ports(1)
-        process = edge(folder, port, exchange_port, 4)
-        half = carried / 2
-        direct = Caller((HOST, relay_port), 4).paced(half, options.seconds)
-        through = Caller((HOST, port), 4).paced(half, options.seconds)
+        process = start_edge(folder, port, exchange_port, 4)
+        rate = edge_rate / 2
+        direct = LoadGenerator((HOST, relay_port), 4).run_rate(rate, arguments.seconds)
+        through_edge = LoadGenerator((HOST, port), 4).run_rate(rate, arguments.seconds)
         stop(process)
-        result["added delay ms at half"] = {part: round(through[part] - direct[part], 2) for part in ("p50", "p99")}
-        if options.memory:
+        result["added delay ms at half"] = {
+            percentile: round(through_edge[percentile] - direct[percentile], 2) for percentile in ("p50", "p99")
+        }
+        if arguments.memory:
             memory(folder, exchange_port, result)
     print(json.dumps(result, indent=1))
 
--- a/benchmarks/causes.py
+++ b/benchmarks/causes.py
@@ -1,10 +1,10 @@
-"""How often the cause of a bad stretch is found: days with one known trouble each are played on the stand-ins, the proxies'
-traces summarised, and what is named is set against what was scripted.
+"""Accuracy of the causes that traces name for bad stretches: days with one scripted cause each are played on the stand-ins, and the
+named causes are compared with the scripted ones.
 
     python benchmarks/causes.py --seeds 101:106 found/causes
 
-Draws what strikes, whom, how hard and when from the seed; days that were played already are only judged. Prints a
-confusion table: rows what was scripted, columns what was named.
+The seed determines the faults, their targets, strength and times; days whose report exists are not played again. Prints a
+confusion matrix: scripted causes in rows, named causes in columns.
 """
 
 import argparse
@@ -50,33 +50,33 @@
 ]
 
 
-def faults(kind, draw, count):
-    """The faults of one trouble, and the part of the exchanges that the first one strikes."""
-    at, lasts = 6 + round(3 * draw.random(), 1), 4 + round(2 * draw.random(), 1)
-    one = 1 / count
-    match kind:
+def draw_faults(cause, rng, exchanges):
+    """The faults that bring about a cause; the first one names the share of the exchanges that it affects."""
+    at, lasts = 6 + round(3 * rng.random(), 1), 4 + round(2 * rng.random(), 1)
+    one_exchange = 1 / exchanges
+    match cause:
         case "own processor":
-            return [{"kind": "pause-proxy", "at": at, "lasts": round(1.5 + 1.5 * draw.random(), 1), "share": one}]
+            return [{"kind": "pause-proxy", "at": at, "lasts": round(1.5 + 1.5 * rng.random(), 1), "share": one_exchange}]
         case "one far end":
-            what = draw.choice(["slow", "silence", "vanish", "pauses"])
-            more = {"slow": {"factor": draw.choice([5, 7])}, "pauses": {"ms": 800, "every_ms": 1300}}.get(what, {})
-            return [{"kind": what, "at": at, "lasts": lasts, "share": one, **more}]
+            fault_kind = rng.choice(["slow", "silence", "vanish", "pauses"])
+            parameters = {"slow": {"factor": rng.choice([5, 7])}, "pauses": {"ms": 800, "every_ms": 1300}}.get(fault_kind, {})
+            return [{"kind": fault_kind, "at": at, "lasts": lasts, "share": one_exchange, **parameters}]
         case "all far ends":
-            what = draw.choice(["all-slow", "pauses", "silence"])
-            more = {
-                "all-slow": {"factor": draw.choice([5, 6])},
+            fault_kind = rng.choice(["all-slow", "pauses", "silence"])
+            parameters = {
+                "all-slow": {"factor": rng.choice([5, 6])},
                 "pauses": {"ms": 900, "every_ms": 1500, "share": 1},
                 "silence": {"share": 1},
-            }[what]
-            return [{"kind": what, "at": at, "lasts": lasts if what != "silence" else 2.5, **more}]
+            }[fault_kind]
+            return [{"kind": fault_kind, "at": at, "lasts": lasts if fault_kind != "silence" else 2.5, **parameters}]
         case "circuits":
-            if draw.random() < 0.5:
-                return [{"kind": "groups-shrink", "at": at, "lasts": lasts, "share": 1, "factor": draw.choice([4, 6])}]
-            return [{"kind": "burst", "at": at, "lasts": lasts, "factor": draw.choice([4, 5])}]
+            if rng.random() < 0.5:
+                return [{"kind": "groups-shrink", "at": at, "lasts": lasts, "share": 1, "factor": rng.choice([4, 6])}]
+            return [{"kind": "burst", "at": at, "lasts": lasts, "factor": rng.choice([4, 5])}]
         case "list":
             return [
-                {"kind": "rolling", "at": at, "lasts": 3, "share": draw.choice([0.4, 0.6]), "batch": 2},
-                {"kind": "stale-list", "at": at - 1, "lasts": 7, "ms": draw.choice([6000, 8000])},
+                {"kind": "rolling", "at": at, "lasts": 3, "share": rng.choice([0.4, 0.6]), "batch": 2},
+                {"kind": "stale-list", "at": at - 1, "lasts": 7, "ms": rng.choice([6000, 8000])},
             ]
         case "answers lost":
             return [
@@ -84,65 +84,66 @@
                     "kind": "answers-lost",
                     "at": at,
                     "lasts": lasts,
-                    "share": draw.choice([0.6, 1]),
-                    "factor": draw.choice([0.6, 0.75]),
+                    "share": rng.choice([0.6, 1]),
+                    "factor": rng.choice([0.6, 0.75]),
                 }
             ]
-    raise ValueError(kind)
+    raise ValueError(cause)
 
 
-KINDS = ("own processor", "one far end", "all far ends", "circuits", "list", "answers lost")
+CAUSES = ("own processor", "one far end", "all far ends", "circuits", "list", "answers lost")
 
 
-def written(kind, seed, folder):
-    draw = random.Random(f"{kind} {seed}")
-    count = draw.choice([4, 5])
+def write_day(cause, seed, folder):
+    rng = random.Random(f"{cause} {seed}")
+    exchanges = rng.choice([4, 5])
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / "day.sexp"
     path.write_text(
         format_settings(
             "day",
-            name=f"{kind} {seed}".replace(" ", "-"),
+            name=f"{cause} {seed}".replace(" ", "-"),
             seconds=19,
             seed=seed,
-            exchanges=count,
-            rate=draw.choice([8, 10]),
+            exchanges=exchanges,
+            rate=rng.choice([8, 10]),
             exchange_tcp=0.0,
             traffic_type=TYPES,
-            groups={"mean": draw.choice([30, 36]), "spread": 0.3},
+            groups={"mean": rng.choice([30, 36]), "spread": 0.3},
             processor={"setup_ms": 14, "transit_ms": 7},
             callers={"redials": 2, "tcp": 0.2},
-            fault=faults(kind, draw, count),
+            fault=draw_faults(cause, rng, exchanges),
         )
     )
     return path
 
 
-def play(kind, seed, top):
-    folder = top / f"{kind.replace(' ', '-')}-{seed}"
-    path = written(kind, seed, folder)
+def play(cause, seed, folder):
+    day_folder = folder / f"{cause.replace(' ', '-')}-{seed}"
+    path = write_day(cause, seed, day_folder)
     for _ in range(3):
-        if list(folder.glob("traces/*.trace")) and (folder / "report.json").exists():
+        if list(day_folder.glob("traces/*.trace")) and (day_folder / "report.json").exists():
             break
         subprocess.run(
-            [sys.executable, "-m", "gingergap", "day", "play", str(path), "--report", str(folder)],
+            [sys.executable, "-m", "gingergap", "day", "play", str(path), "--report", str(day_folder)],
             capture_output=True,
             timeout=120,
             check=False,
         )
-    return folder
+    return day_folder
 
 
-def named(kind, seed, folder):
-    """What is named for each proxy that the trouble concerns: (proxy, cause or 'nothing')."""
+def find_causes(cause, seed, folder):
+    """For each proxy that the faults concern: its number, the cause named for its worst stretch (or 'nothing'), that stretch,
+    and the kind of the first fault."""
     day = read(folder / "day.sexp", day=DayForm)
     plan = DayPlan(day, seed)
-    struck = plan.scheduled_faults[0].targets
+    targets = plan.scheduled_faults[0].targets
     fault = day.fault[0]
-    found = []
+    causes = []
     for trace in opened([folder / "traces"]):
         number = int(trace.header.figures["here"])
-        if kind == "own processor" and number not in struck or kind == "one far end" and number in struck:
+        if cause == "own processor" and number not in targets or cause == "one far end" and number in targets:
             continue
         tally = Tally(trace.sources, 10_000)
         for entry in trace.entries():
@@ -151,45 +152,45 @@
         stretches = bad_stretches(tally.all_slices(), tally.span, tally.usual(), tally.objective())
         trace.close()
         if not stretches:
-            found.append((number, "nothing", None, fault.kind))
+            causes.append((number, "nothing", None, fault.kind))
             continue
-        worst = max(stretches, key=lambda one: one.troubles)
-        found.append((number, worst.cause, worst, fault.kind))
-    return found
+        worst = max(stretches, key=lambda stretch: stretch.troubles)
+        causes.append((number, worst.cause, worst, fault.kind))
+    return causes
 
 
 def main():
     parser = argparse.ArgumentParser()
-    parser.add_argument("top", type=Path)
+    parser.add_argument("folder", type=Path)
     parser.add_argument("--seeds", default="101:104")
     parser.add_argument("--at-once", type=int, default=3)
     parser.add_argument("--play-only", action="store_true")
-    parser.add_argument("--why", action="store_true", help="Print each proxy's stretch and its evidence.")
-    asked = parser.parse_args()
-    low, _, high = asked.seeds.partition(":")
-    cases = [(kind, seed) for seed in range(int(low), int(high)) for kind in KINDS]
-    with ThreadPoolExecutor(asked.at_once) as pool:
-        folders = list(pool.map(lambda case: play(*case, asked.top), cases))
-    if asked.play_only:
+    parser.add_argument("--why", action="store_true", help="Print each proxy's worst stretch and its evidence.")
+    arguments = parser.parse_args()
+    first, _, last = arguments.seeds.partition(":")
+    cases = [(cause, seed) for seed in range(int(first), int(last)) for cause in CAUSES]
+    with ThreadPoolExecutor(arguments.at_once) as pool:
+        folders = list(pool.map(lambda case: play(*case, arguments.folder), cases))
+    if arguments.play_only:
         return
-    table, by_day = Counter(), Counter()
-    for (kind, seed), folder in zip(cases, folders, strict=True):
-        found = named(kind, seed, folder)
-        for number, cause, stretch, fault in found:
-            table[kind, cause] += 1
-            if asked.why:
-                print(f"{kind} {seed} ({fault}) p{number}: {cause}")
+    by_proxy, by_day = Counter(), Counter()
+    for (cause, seed), day_folder in zip(cases, folders, strict=True):
+        causes = find_causes(cause, seed, day_folder)
+        for number, named_cause, stretch, fault in causes:
+            by_proxy[cause, named_cause] += 1
+            if arguments.why:
+                print(f"{cause} {seed} ({fault}) p{number}: {named_cause}")
                 for line in stretch.evidence if stretch else ():
                     print(f"    {line}")
-        voices = Counter(cause for _, cause, _, _ in found if cause != "nothing")
-        by_day[kind, voices.most_common(1)[0][0] if voices else "nothing"] += 1
-    for title, counts in (("by proxy", table), ("by day, most proxies' word", by_day)):
-        columns = [*KINDS, "nothing"]
+        votes = Counter(named_cause for _, named_cause, _, _ in causes if named_cause != "nothing")
+        by_day[cause, votes.most_common(1)[0][0] if votes else "nothing"] += 1
+    for title, counts in (("by proxy", by_proxy), ("by day, most proxies' cause", by_day)):
+        columns = [*CAUSES, "nothing"]
         print(f"{title:>28} | " + " | ".join(f"{column[:13]:>13}" for column in columns))
-        for kind in KINDS:
-            print(f"{kind:>28} | " + " | ".join(f"{counts[kind, column]:>13}" for column in columns))
-        right, whole = sum(counts[kind, kind] for kind in KINDS), sum(counts.values())
-        print(f"right: {right} of {whole} ({right / max(1, whole):.2f})")
+        for cause in CAUSES:
+            print(f"{cause:>28} | " + " | ".join(f"{counts[cause, column]:>13}" for column in columns))
+        correct, total = sum(counts[cause, cause] for cause in CAUSES), sum(counts.values())
+        print(f"right: {correct} of {total} ({correct / max(1, total):.2f})")
 
 
 if __name__ == "__main__":
--- a/benchmarks/parsers.py
+++ b/benchmarks/parsers.py
@@ -1,4 +1,4 @@
-"""Our parser against sipmessage on the same messages in the same run, as a ratio.
+"""Time of the program's SIP parser and of sipmessage for the same message, as a ratio within the same run.
 
 python benchmarks/parsers.py
 """
@@ -20,7 +20,8 @@
 )
 
 
-def cost(parser, rounds=2_000):
+def parse_time(parser, rounds=2_000):
+    """Mean time of one message in microseconds."""
     start = time.perf_counter()
     for _ in range(rounds):
         parser(INVITE)
@@ -28,9 +29,12 @@
 
 
 def main():
-    pairs = [(cost(parse), cost(sipmessage.Message.parse)) for _ in range(7)]
-    own, other = (statistics.median(column) for column in zip(*pairs, strict=True))
-    print(f"own {own:.1f} us, sipmessage {other:.1f} us, ratio {statistics.median(b / a for a, b in pairs):.1f}")
+    pairs = [(parse_time(parse), parse_time(sipmessage.Message.parse)) for _ in range(7)]
+    own_time, other_time = (statistics.median(column) for column in zip(*pairs, strict=True))
+    print(
+        f"own {own_time:.1f} us, sipmessage {other_time:.1f} us, ratio "
+        f"{statistics.median(theirs / ours for ours, theirs in pairs):.1f}"
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -1,6 +1,6 @@
-"""The store: kills under load, reading on start, what it costs the calls.
+"""The store: consistency after kills, time to start from a large store, cost for the calls.
 
-python benchmarks/store.py kills [--many 500]     # a writer killed outright, each time opened and compared
+python benchmarks/store.py kills [--many 500]     # kills a writer, then opens and compares the store
 python benchmarks/store.py start [--callers 1000000]
 python benchmarks/store.py cost [--rounds 4] [--seconds 3] [--rate 600]
 """
@@ -43,12 +43,12 @@
 )
 
 
-def batch(draw, number):
-    """Dialogs that begin to stand or end, and counters."""
+def random_batch(rng, number):
+    """Changes of established dialogs, which begin or end, and of a counter."""
     changes = []
-    for _ in range(draw.randrange(1, 20)):
-        key = encode_key(f"call{draw.randrange(400)}", "ct")
-        if draw.random() < 0.4:
+    for _ in range(rng.randrange(1, 20)):
+        key = encode_key(f"call{rng.randrange(400)}", "ct")
+        if rng.random() < 0.4:
             changes.append(Change(STANDING, key, None))
         else:
             changes.append(Change(STANDING, key, DialogRecord(0, 1, number, "x1", 1, float(number), False, f"t{number}")))
@@ -56,7 +56,7 @@
     return changes
 
 
-def applied(state, changes):
+def apply_changes(state, changes):
     for change in changes:
         if change.body is None:
             state.pop(change.key, None)
@@ -64,58 +64,58 @@
             state[change.key] = change.body
 
 
-def writer(folder, seed, begin, told):
-    """Commits batches until it is killed; tells the number of each once it is acknowledged."""
-    book = RecordStore(Path(folder))
-    draw = random.Random(seed)
+def write_until_killed(folder, seed, begin, pipe):
+    """Commits batches until it is killed; writes the number of each to the pipe once it is committed."""
+    store = RecordStore(Path(folder))
+    rng = random.Random(seed)
     for number in range(begin, 1 << 40):
-        book.commit(batch(draw, number))
-        os.write(told, number.to_bytes(8))
+        store.commit(random_batch(rng, number))
+        os.write(pipe, number.to_bytes(8))
 
 
-def kills(many):
-    """One store all along: what a killed writer leaves, the next one goes on with."""
+def measure_kills(kill_count):
+    """Kill writers of one store in turn: it must hold every acknowledged batch, and at most one more, complete."""
     context = multiprocessing.get_context("fork")
-    draw = random.Random(1)
-    state, begin, acknowledged_all, in_doubt = {}, 0, 0, 0
+    rng = random.Random(1)
+    state, begin, total_acknowledged, unacknowledged = {}, 0, 0, 0
     with tempfile.TemporaryDirectory() as folder:
-        for kill in range(many):
-            seen, told = os.pipe()
-            process = context.Process(target=writer, args=(folder, kill, begin, told), daemon=True)
+        for kill in range(kill_count):
+            read_end, write_end = os.pipe()
+            process = context.Process(target=write_until_killed, args=(folder, kill, begin, write_end), daemon=True)
             process.start()
-            os.close(told)
-            time.sleep(draw.uniform(0.01, 0.06))
+            os.close(write_end)
+            time.sleep(rng.uniform(0.01, 0.06))
             os.kill(process.pid, signal.SIGKILL)
             process.join()
-            heard = b""
-            while data := os.read(seen, 65_536):
-                heard += data
-            os.close(seen)
-            acknowledged = len(heard) // 8
-            again = random.Random(kill)
+            received = b""
+            while data := os.read(read_end, 65_536):
+                received += data
+            os.close(read_end)
+            acknowledged = len(received) // 8
+            replayed_rng = random.Random(kill)
             for number in range(begin, begin + acknowledged):
-                applied(state, batch(again, number))
-            later = dict(state)
-            applied(later, batch(again, begin + acknowledged))
-            book = RecordStore(Path(folder))
-            found = {item.key: item.body for kind in (STANDING, TOKEN) for item in book.items(kind)}
-            if book.damage or book.verify() or found not in (state, later):
-                print(f"kill {kill}: {book.damage or 'not what was acknowledged'}")
+                apply_changes(state, random_batch(replayed_rng, number))
+            next_state = dict(state)
+            apply_changes(next_state, random_batch(replayed_rng, begin + acknowledged))
+            store = RecordStore(Path(folder))
+            restored = {item.key: item.body for kind in (STANDING, TOKEN) for item in store.items(kind)}
+            if store.damage or store.verify() or restored not in (state, next_state):
+                print(f"kill {kill}: {store.damage or 'differs from the acknowledged batches'}")
                 sys.exit(1)
-            if found == later and found != state:
-                in_doubt += 1
+            if restored == next_state and restored != state:
+                unacknowledged += 1
                 begin += 1
-                state = later
-            book.close()
+                state = next_state
+            store.close()
             begin += acknowledged
-            acknowledged_all += acknowledged
+            total_acknowledged += acknowledged
         print(
-            f"{many} kills, {acknowledged_all} batches acknowledged, each found whole, none twice; {in_doubt} were on the disk "
-            "before they could be told"
+            f"{kill_count} kills, {total_acknowledged} batches acknowledged, each found complete, none twice; {unacknowledged} "
+            "were on the disk but not yet acknowledged"
         )
 
 
-def settings_of(exchanges):
+def create_settings(exchanges):
     return parse(
         format_settings(
             "edge",
@@ -140,144 +140,147 @@
 )
 
 
-class Nowhere:
+class NullTransport:
     def transmit(self, data, hop):
         pass
 
 
-def start(callers):
-    """From nothing to the first decision, with a store that has grown."""
-    wall = time.time()
+def measure_start(callers):
+    """Time from opening a large store to the first leg that the proxy sends, and time to evict callers."""
+    wall_time = time.time()
     with tempfile.TemporaryDirectory() as folder:
-        book = RecordStore(Path(folder))
-        memory = StateRecorder(3_600, callers, [1.0])
+        store = RecordStore(Path(folder))
+        recorder = StateRecorder(3_600, callers, [1.0])
         for number in range(60):
-            memory.exchange_listed(
-                f"x{number}", ListedExchange(number, 2, wall - 900, wall - 30, f"127.0.0.1:{10_000 + number}", "UDP")
+            recorder.exchange_listed(
+                f"x{number}", ListedExchange(number, 2, wall_time - 900, wall_time - 30, f"127.0.0.1:{10_000 + number}", "UDP")
             )
-        book.commit(memory.take_batch(HeartbeatRecord(wall - 2, time.monotonic() - 2, "b", "p", wall)))
-        book.commit(
+        store.commit(recorder.take_batch(HeartbeatRecord(wall_time - 2, time.monotonic() - 2, "b", "p", wall_time)))
+        store.commit(
             [
                 Change(
                     STANDING,
                     encode_key(f"call{number}", "ct"),
-                    DialogRecord(0, 1, number % 60, f"x{number % 60}", number % 60, wall - 30, False, "t"),
+                    DialogRecord(0, 1, number % 60, f"x{number % 60}", number % 60, wall_time - 30, False, "t"),
                 )
                 for number in range(10_000)
             ]
         )
-        for begun in range(0, callers, 100_000):
-            book.commit(
+        for first_caller in range(0, callers, 100_000):
+            store.commit(
                 [
                     Change(
                         CALLER,
                         encode_key(f"27{number:09d}", 0, number % 60),
-                        CallerRecord(wall - 2 - number * 0.05, 1.0),
-                        wall - 2 - number * 0.05,
+                        CallerRecord(wall_time - 2 - number * 0.05, 1.0),
+                        wall_time - 2 - number * 0.05,
                     )
-                    for number in range(begun, begun + 100_000)
+                    for number in range(first_caller, first_caller + 100_000)
                 ]
             )
-        size = book.size()
-        book.close()
-        took = []
+        size = store.size()
+        store.close()
+        start_times = []
         for _ in range(3):
-            begun = time.perf_counter()
-            book = RecordStore(Path(folder))
-            found = restore_state(
-                book.items,
+            started = time.perf_counter()
+            store = RecordStore(Path(folder))
+            restored = restore_state(
+                store.items,
                 time.time(),
                 time.monotonic(),
                 "b",
                 list_validity=3_600,
                 max_dialog_age=14_400,
                 caller_retention=9,
-                damage=book.damage,
+                damage=store.damage,
             )
             proxy = proxy_of(
-                settings_of(60),
-                Nowhere(),
+                create_settings(60),
+                NullTransport(),
                 structlog.get_logger(),
                 clock(),
                 time.time(),
                 lambda size: "f" * size,
                 None,
                 StateRecorder(3_600, callers, [1.0]),
-                found,
+                restored,
             )
             proxy.got(clock(), parse_sip(INVITE), Hop("UDP", "127.0.0.1", 9000))
             assert proxy.counts["legs"] == 1
-            took.append(time.perf_counter() - begun)
+            start_times.append(time.perf_counter() - started)
             assert proxy.counts["remembered"] == 10_000 and type(proxy.controller) is CallController
-            book.close()
+            store.close()
         print(
             f"60 exchanges, 10,000 standing dialogs, {callers} callers, {size / 2**20:.0f} MB: first decision after "
-            f"{min(took) * 1000:.0f} ms (of three, {max(took) * 1000:.0f} the slowest)"
+            f"{min(start_times) * 1000:.0f} ms (of three, {max(start_times) * 1000:.0f} the slowest)"
         )
-        begun = time.perf_counter()
-        book = RecordStore(Path(folder))
-        gone = book.evict(CALLER, 100_000)
-        print(f"eviction of {gone} callers: {time.perf_counter() - begun:.2f} s, in a thread")
-        assert next(book.items(ALIVE)).body.instance == "p"
-        book.close()
+        started = time.perf_counter()
+        store = RecordStore(Path(folder))
+        evicted = store.evict(CALLER, 100_000)
+        print(f"eviction of {evicted} callers: {time.perf_counter() - started:.2f} s, in a thread")
+        assert next(store.items(ALIVE)).body.instance == "p"
+        store.close()
 
 
-def carried(folder, exchange_port, seconds, rate, more):
-    """Processor time a call, set-up times, and what the process wrote a call."""
+def measure_cost(folder, exchange_port, seconds, rate, settings):
+    """Processor time a call (ms), median and 99th percentile of the set-up time (ms), bytes written a call."""
     (port,) = free_ports(1)
-    process = calls.edge(folder, port, exchange_port, 4, **more)
-    caller = calls.Caller((calls.HOST, port), 4)
-    caller.paced(rate, 1)
-    watched = psutil.Process(process.pid)
-    before, wrote = sum(watched.cpu_times()[:2]), watched.io_counters().write_bytes
-    took = caller.paced(rate, seconds)
-    used, wrote = sum(watched.cpu_times()[:2]) - before, watched.io_counters().write_bytes - wrote
+    process = calls.start_edge(folder, port, exchange_port, 4, **settings)
+    caller = calls.LoadGenerator((calls.HOST, port), 4)
+    caller.run_rate(rate, 1)
+    process_info = psutil.Process(process.pid)
+    cpu_before, bytes_written = sum(process_info.cpu_times()[:2]), process_info.io_counters().write_bytes
+    times = caller.run_rate(rate, seconds)
+    cpu_seconds, bytes_written = (
+        sum(process_info.cpu_times()[:2]) - cpu_before,
+        process_info.io_counters().write_bytes - bytes_written,
+    )
     process.terminate()
     process.wait(30)
-    return used * 1000 / took["calls"], took["p50"], took["p99"], wrote / took["calls"]
+    return cpu_seconds * 1000 / times["calls"], times["p50"], times["p99"], bytes_written / times["calls"]
 
 
-def cost(rounds, seconds, rate):
+def compare_costs(rounds, seconds, rate):
     (exchange_port,) = free_ports(1)
     calls.start(calls.exchange, exchange_port, 4)
-    calls.await_answer(exchange_port)
-    found = {"off": [], "on": []}
+    calls.wait_until_answering(exchange_port)
+    costs = {"off": [], "on": []}
     with tempfile.TemporaryDirectory() as folder:
         for number in range(rounds):
             for name in ("off", "on") if number % 2 else ("on", "off"):
-                more = {"store": {"folder": f"{folder}/store-{number}"}} if name == "on" else {}
-                found[name].append(carried(Path(folder), exchange_port, seconds, rate, more))
-    for name, rows in found.items():
+                settings = {"store": {"folder": f"{folder}/store-{number}"}} if name == "on" else {}
+                costs[name].append(measure_cost(Path(folder), exchange_port, seconds, rate, settings))
+    for name, rows in costs.items():
         print(
             f"{name}: "
             + ", ".join(
-                f"{what} {statistics.median(column):.3f}"
-                for what, column in zip(
+                f"{metric} {statistics.median(column):.3f}"
+                for metric, column in zip(
                     ("processor ms a call", "p50", "p99 ms", "bytes written a call"), zip(*rows, strict=True), strict=True
                 )
             )
         )
-    for place, what in enumerate(("processor", "p50", "p99")):
-        ratios = sorted(on[place] / off[place] for off, on in zip(found["off"], found["on"], strict=True))
-        print(f"{what}, on to off: median {statistics.median(ratios):.3f}, {ratios[0]:.3f} to {ratios[-1]:.3f}")
+    for index, metric in enumerate(("processor", "p50", "p99")):
+        ratios = sorted(on[index] / off[index] for off, on in zip(costs["off"], costs["on"], strict=True))
+        print(f"{metric}, on to off: median {statistics.median(ratios):.3f}, {ratios[0]:.3f} to {ratios[-1]:.3f}")
 
 
 def main():
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    parser.add_argument("what", choices=("kills", "start", "cost"))
+    parser.add_argument("benchmark", choices=("kills", "start", "cost"))
     parser.add_argument("--many", type=int, default=500)
     parser.add_argument("--callers", type=int, default=1_000_000)
     parser.add_argument("--rounds", type=int, default=4)
     parser.add_argument("--seconds", type=float, default=3)
     parser.add_argument("--rate", type=float, default=600)
-    asked = parser.parse_args()
-    match asked.what:
+    arguments = parser.parse_args()
+    match arguments.benchmark:
         case "kills":
-            kills(asked.many)
+            measure_kills(arguments.many)
         case "start":
-            start(asked.callers)
+            measure_start(arguments.callers)
         case "cost":
-            cost(asked.rounds, asked.seconds, asked.rate)
+            compare_costs(arguments.rounds, arguments.seconds, arguments.rate)
 
 
 if __name__ == "__main__":
--- a/benchmarks/validation.py
+++ b/benchmarks/validation.py
@@ -1,9 +1,9 @@
-"""The same scripted days on sockets and emulated: service, what stood, set-up times, legs a dialog, side by side.
+"""Compares emulated days with the same scripted days on sockets: service, established dialogs, set-up times, attempts, legs.
 
     python benchmarks/validation.py found/validation --seeds 1:4
 
-Both draw a day from the same script, but each its own calls: differences include chance. Also: emulated calls a second on one core,
-with and without the module's own time, and how it grows with size.
+Both take a day from the same script but draw their own calls, so that differences include random variation. Also prints the
+speed of the emulator on one core for meshes of different sizes, and the share of time that the controllers take.
 """
 
 import argparse
@@ -25,10 +25,10 @@
 DAYS = ("quiet", "bad-monday", "restarts")
 
 
-def on_sockets(day, seed, top):
-    folder = top / f"{day}-{seed}"
+def play_on_sockets(day, seed, folder):
+    day_folder = folder / f"{day}-{seed}"
     for _ in range(3):
-        if (folder / "report.json").exists():
+        if (day_folder / "report.json").exists():
             break
         subprocess.run(
             [
@@ -41,13 +41,13 @@
                 "--seed",
                 str(seed),
                 "--report",
-                str(folder),
+                str(day_folder),
             ],
             capture_output=True,
             timeout=150,
             check=False,
         )
-    report = json.loads((folder / "report.json").read_text())
+    report = json.loads((day_folder / "report.json").read_text())
     return {
         "service": report["service"],
         "stood": sum(row["stood"] for row in report["by_type"].values()) / report["offered"],
@@ -58,85 +58,87 @@
     }
 
 
-def emulated(day, seed):
-    figures = Day(read(ROOT / "days" / f"{day}.sexp", day=DayForm), seed).run().summary()
+def emulate(day, seed):
+    summary = Day(read(ROOT / "days" / f"{day}.sexp", day=DayForm), seed).run().summary()
     return {
-        "service": figures["service"],
-        "stood": figures["stood"] / figures["offered"],
-        "p50": figures["setup_ms"]["p50"],
-        "p90": figures["setup_ms"]["p90"],
-        "tries": figures["tries"] / figures["offered"],
-        "legs": figures["rules"][2]["judged"] / figures["offered"],
+        "service": summary["service"],
+        "stood": summary["stood"] / summary["offered"],
+        "p50": summary["setup_ms"]["p50"],
+        "p90": summary["setup_ms"]["p90"],
+        "tries": summary["tries"] / summary["offered"],
+        "legs": summary["rules"][2]["judged"] / summary["offered"],
     }
 
 
-class Timed:
-    """The module with the time spent in it."""
+class TimedController:
+    """A controller that adds the real time spent in its methods to `seconds`, the sum over all instances."""
 
-    spent = 0.0
+    seconds = 0.0
 
     def __init__(self, controller):
         self.controller = controller
 
     def __getattr__(self, name):
-        found = getattr(self.controller, name)
-        if not callable(found):
-            return found
+        attribute = getattr(self.controller, name)
+        if not callable(attribute):
+            return attribute
 
         def timed(*args):
-            begun = time.perf_counter()
+            started = time.perf_counter()
             try:
-                return found(*args)
+                return attribute(*args)
             finally:
-                Timed.spent += time.perf_counter() - begun
+                TimedController.seconds += time.perf_counter() - started
 
         return timed
 
 
-def speed():
+def measure_speed():
     form = read(ROOT / "experiments" / "mesh.sexp", day=DayForm)
     for exchanges in (10, 20, 40, 80, 160):
-        sized = form.model_copy(update={"exchanges": exchanges})
-        day = Day(sized, 1).run()
-        Timed.spent = 0.0
-        inner = Day(
-            sized,
+        sized_form = form.model_copy(update={"exchanges": exchanges})
+        day = Day(sized_form, 1).run()
+        TimedController.seconds = 0.0
+        timed_day = Day(
+            sized_form,
             1,
-            lambda host, here, proxies, types, sized=sized: Timed(
-                CallController(host, 1000 + here, here, proxies, types, **controller_arguments(sized))
+            lambda host, own_exchange, proxy_count, traffic_types, sized_form=sized_form: TimedController(
+                CallController(
+                    host, 1000 + own_exchange, own_exchange, proxy_count, traffic_types, **controller_arguments(sized_form)
+                )
             ),
         )
-        inner.run()
-        share = min(1.0, Timed.spent / inner.run_duration)
+        timed_day.run()
+        share = min(1.0, TimedController.seconds / timed_day.run_duration)
         print(
-            f"{exchanges} exchanges: {day.offered} calls, {day.attempts} tries, {day.engine.event_count} events in {day.run_duration:.2f} s: "
-            f"{day.attempts / day.run_duration:.0f} tries a second, {day.engine.event_count / day.run_duration:.0f} events a second; in the module and "
-            f"what it calls {share:.2f}"
+            f"{exchanges} exchanges: {day.offered} calls, {day.attempts} tries, {day.engine.event_count} events in "
+            f"{day.run_duration:.2f} s: {day.attempts / day.run_duration:.0f} tries a second, "
+            f"{day.engine.event_count / day.run_duration:.0f} events a second; in the module and what it calls {share:.2f}"
         )
 
 
 def main():
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    parser.add_argument("top", type=lambda text: Path(text).resolve())
+    parser.add_argument("folder", type=lambda text: Path(text).resolve())
     parser.add_argument("--seeds", default="1:4")
     parser.add_argument("--at-once", type=int, default=3)
-    asked = parser.parse_args()
-    low, _, high = asked.seeds.partition(":")
-    seeds = range(int(low), int(high))
+    arguments = parser.parse_args()
+    first, _, last = arguments.seeds.partition(":")
+    seeds = range(int(first), int(last))
     cases = [(day, seed) for day in DAYS for seed in seeds]
-    with ThreadPoolExecutor(asked.at_once) as pool:
-        played = dict(zip(cases, pool.map(lambda case: on_sockets(*case, asked.top), cases), strict=True))
+    with ThreadPoolExecutor(arguments.at_once) as pool:
+        played = dict(zip(cases, pool.map(lambda case: play_on_sockets(*case, arguments.folder), cases), strict=True))
     for day in DAYS:
         print(day)
-        runs = [emulated(day, seed) for seed in seeds]
+        emulated = [emulate(day, seed) for seed in seeds]
         for name in ("service", "stood", "p50", "p90", "tries", "legs"):
             sockets = [played[day, seed][name] for seed in seeds]
-            simulated = [run[name] for run in runs]
+            simulated = [run[name] for run in emulated]
             print(
                 f"  {name:8} sockets {statistics.mean(sockets):8.3f} ({min(sockets):.3f} to {max(sockets):.3f}), emulated "
                 f"{statistics.mean(simulated):8.3f} ({min(simulated):.3f} to {max(simulated):.3f})"
             )
-    speed()
+    measure_speed()
 
 
 if __name__ == "__main__":
