--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -24,20 +24,20 @@
   (callers (redials 0) (impatient 0)) (tell-peers false) %s)"""
 
 
-def day_of(seconds=20, exchanges=4, rate=6, hold=2, mean=12, setup=10, more=""):
-    return parse(DAY % (seconds, exchanges, rate, hold, mean, setup, more), "d", day=DayForm)
+def create_day_form(seconds=20, exchanges=4, rate=6, hold=2, mean=12, setup=10, extra=""):
+    return parse(DAY % (seconds, exchanges, rate, hold, mean, setup, extra), "d", day=DayForm)
 
 
 def test_events_of_one_time_run_in_the_order_of_scheduling():
-    engine, seen = Engine(), []
+    engine, calls = Engine(), []
     for number in range(5):
-        engine.schedule_at(10, seen.append, number)
-    engine.schedule_at(5, lambda: engine.schedule_after(5, seen.append, "last"))
-    engine.schedule_at(3, lambda: engine.schedule_at(1, seen.append, "past is now"))
+        engine.schedule_at(10, calls.append, number)
+    engine.schedule_at(5, lambda: engine.schedule_after(5, calls.append, "last"))
+    engine.schedule_at(3, lambda: engine.schedule_at(1, calls.append, "past is now"))
     engine.run(9)
-    assert seen == ["past is now"] and engine.now == 9
+    assert calls == ["past is now"] and engine.now == 9
     engine.run(100)
-    assert seen[1:] == [0, 1, 2, 3, 4, "last"] and engine.event_count == 9
+    assert calls[1:] == [0, 1, 2, 3, 4, "last"] and engine.event_count == 9
 
 
 def test_streams_of_different_purposes_are_independent():
@@ -52,15 +52,18 @@
 
 
 def test_a_day_is_reproducible_by_its_seed():
-    more = "(fault (kind slow) (at 2) (lasts 4)) (fault (kind loss) (at 3) (lasts 4) (factor 0.1))"
-    runs = [Day(day_of(10, more=more), seed).run().summary() for seed in (1, 1, 2)]
+    extra = "(fault (kind slow) (at 2) (lasts 4)) (fault (kind loss) (at 3) (lasts 4) (factor 0.1))"
+    runs = [Day(create_day_form(10, extra=extra), seed).run().summary() for seed in (1, 1, 2)]
     for run in runs:
         del run["seconds"]
     assert runs[0] == runs[1] != runs[2]
 
 
 def test_a_network_fault_does_not_change_the_arrivals():
-    plain, faulty = Day(day_of(10), 3), Day(day_of(10, more="(fault (kind loss) (at 1) (lasts 8) (factor 0.2))"), 3)
+    plain, faulty = (
+        Day(create_day_form(10), 3),
+        Day(create_day_form(10, extra="(fault (kind loss) (at 1) (lasts 8) (factor 0.2))"), 3),
+    )
     arrivals = []
     for day in (plain, faulty):
         arrivals.append([])
@@ -90,7 +93,7 @@
 
 
 def test_loss_of_direct_routing_agrees_with_erlang_b():
-    form = day_of(seconds=600, exchanges=2, rate=4, hold=2, mean=16, setup=1)
+    form = create_day_form(seconds=600, exchanges=2, rate=4, hold=2, mean=16, setup=1)
     summary = Day(form, 5, baseline_factory("direct", 5)).run().summary()
     lost = 1 - summary["stood"] / summary["offered"]
     expected = erlang_b(2 * 4 * 2, 16)  # both ends offer four dialogs a second, of two seconds each
@@ -99,16 +102,16 @@
 
 
 def test_set_up_times_of_one_processor_agree_with_the_md1_queue():
-    form = day_of(seconds=300, exchanges=2, rate=30, hold=0.1, mean=200, setup=20)
-    summary = Day(form, 6, baseline_factory("direct", 6)).run()
-    waits = summary.setup_times
-    mean = waits.get_mean_value() / 1000
+    form = create_day_form(seconds=300, exchanges=2, rate=30, hold=0.1, mean=200, setup=20)
+    day = Day(form, 6, baseline_factory("direct", 6)).run()
+    setup_times = day.setup_times
+    mean = setup_times.get_mean_value() / 1000
     expected = 20 + md1_wait(30 / 1000, 20.0)
     assert mean == pytest.approx(expected + 1.2, rel=0.12)  # 1.2 ms: four messages of 0.3 ms each
 
 
 def test_loss_with_reservation_in_a_mesh_is_near_the_fixed_point():
-    form = day_of(seconds=60, exchanges=8, rate=40, hold=2, mean=24, setup=0.5)
+    form = create_day_form(seconds=60, exchanges=8, rate=40, hold=2, mean=24, setup=0.5)
     summary = Day(form, 7, baseline_factory("reservation", 7)).run().summary()
     lost = 1 - summary["stood"] / summary["offered"]
     expected = reservation_fixed_point(2 * 40 / 7 * 2, 24, 2, 2)
@@ -117,9 +120,9 @@
 
 # --- rules ---
 
-MIXED = "\n".join(
-    f"(fault (kind {kind}) (at {at}) (lasts 4) (share 0.4) {more})"
-    for kind, at, more in (
+ALL_FAULTS = "\n".join(
+    f"(fault (kind {kind}) (at {at}) (lasts 4) (share 0.4) {extra})"
+    for kind, at, extra in (
         ("slow", 1, "(factor 5)"),
         ("silence", 3, ""),
         ("vanish", 5, ""),
@@ -147,7 +150,7 @@
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize("store", ["true", "false"])
 def test_the_module_keeps_every_rule_on_days_with_all_kinds_of_faults(seed, store):
-    day = Day(day_of(20, 6, 9, 2, 9, 18, f"(store {store}) {MIXED}"), seed).run()
+    day = Day(create_day_form(20, 6, 9, 2, 9, 18, f"(store {store}) {ALL_FAULTS}"), seed).run()
     assert day.rules.all_kept, day.rules.breaches
     assert day.rules.judged[1] > 800 and day.rules.judged[2] > 300 and day.rules.judged[4] > 2
     assert day.offered > 700 and 0 < day.summary()["service"] < 1
@@ -155,7 +158,7 @@
 
 def test_all_circuits_are_free_after_the_last_release():
     day = Day(
-        day_of(
+        create_day_form(
             12,
             5,
             9,
@@ -205,7 +208,7 @@
 
 
 def test_a_controller_that_breaks_rules_is_caught():
-    form = day_of(14, 4, 6, 1, 12, 5, "(fault (kind rolling) (at 2) (lasts 3) (share 0.5)) (drain-grace-ms 500)")
+    form = create_day_form(14, 4, 6, 1, 12, 5, "(fault (kind rolling) (at 2) (lasts 3) (share 0.5)) (drain-grace-ms 500)")
     day = Day(
         form,
         2,
@@ -217,7 +220,7 @@
 
 
 def test_the_module_serves_more_than_direct_routing_when_groups_are_small():
-    form = day_of(60, 6, 12, 2, 8, 3)
+    form = create_day_form(60, 6, 12, 2, 8, 3)
     service = {
         name: Day(form, 3, create_controller).run().summary()["service"]
         for name, create_controller in (
@@ -230,8 +233,8 @@
 
 
 def test_work_takes_as_long_as_the_processor_speed_implies():
-    form = day_of(
-        more="(fault (kind slow) (at 5) (lasts 5) (share 1) (factor 4)) (fault (kind vanish) (at 12) (lasts 1) (share 1))"
+    form = create_day_form(
+        extra="(fault (kind slow) (at 5) (lasts 5) (share 1) (factor 4)) (fault (kind vanish) (at 12) (lasts 1) (share 1))"
     )
     plan = DayPlan(form, 1)
     old = next(run for run in plan.machine_runs if run.number == 0 and run.starts_at < 0)
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -115,11 +115,10 @@
     verdicts = []
     for _ in range(200):
         first = [rng.gauss(0.8, 0.1) for _ in range(18)]
-        ours = [value + rng.gauss(0, 0.02) for value in first]
-        verdicts.append(compare_paired(ours, first, 0.95, 4, 0.001).verdict)
-    assert (
-        sum(run in (BETTER, WORSE) for run in verdicts) <= 12
-    )  # 5% divided among four comparisons is 2.5 expected; the rest is tolerance
+        values = [value + rng.gauss(0, 0.02) for value in first]
+        verdicts.append(compare_paired(values, first, 0.95, 4, 0.001).verdict)
+    # An error probability of 5% is divided among four comparisons; the limit leaves a margin.
+    assert sum(verdict in (BETTER, WORSE) for verdict in verdicts) <= 12
 
 
 def test_a_difference_is_found_with_its_sign():
@@ -155,8 +154,8 @@
         results.add({"cell": "c", "policy": "p", "seed": seed, **dict.fromkeys(MEASURES, float(seed))})
         if seed in (1, 4):
             results.flush()
-    again = Results(tmp_path)
-    assert again.rows == results.rows and again.values("c", "p", "service", [1, 3]) == [1.0, 3.0]
+    read_back = Results(tmp_path)
+    assert read_back.rows == results.rows and read_back.values("c", "p", "service", [1, 3]) == [1.0, 3.0]
     (tmp_path / "part-000000.parquet").write_bytes(b"junk")
     damaged = Results(tmp_path)
     assert sorted(key[2] for key in damaged.rows) == [2, 3, 4] and len(damaged.damage) == 1
@@ -206,14 +205,14 @@
 
 
 def test_a_policy_with_a_change_runs_and_a_change_that_does_not_match_is_rejected(folder):
-    changed = '(policy (name "timid") (change (old "run_limit: int = 5") (new "run_limit: int = 1")))'
-    runner = create_runner(folder, EXPERIMENT.replace('(policy (name "the same"))', changed))
+    policy_text = '(policy (name "timid") (change (old "run_limit: int = 5") (new "run_limit: int = 1")))'
+    runner = create_runner(folder, EXPERIMENT.replace('(policy (name "the same"))', policy_text))
     row = run_one(next(iter(runner.cells.values())).day, runner.policies["timid"], runner.missing_runs("3,2")[2])
     assert row["policy"] == "timid" and 0 < row["service"] <= 1 and row["broken"] == 0
     assert 0 < row["p50"] <= row["p90"] <= row["p99"] and 0 < row["service_at_end"] <= 1 and set(row) >= set(MEASURES)
-    for bad in ("not there at all", "self"):
+    for old_text in ("not there at all", "self"):
         form = parse(
-            EXPERIMENT.replace('(policy (name "the same"))', changed.replace("run_limit: int = 5", bad)),
+            EXPERIMENT.replace('(policy (name "the same"))', policy_text.replace("run_limit: int = 5", old_text)),
             "e",
             experiment=ExperimentForm,
         )
