--- a/gingergap/edge/coordination.py
+++ b/gingergap/edge/coordination.py
@@ -74,7 +74,7 @@
 
 
 class Coordination:
-    """Host of `Members` and `Keeper`.
+    """Host of `Membership` and `DutyManager`.
 
     `address` is how other members reach this one, `listen` the local address. `member_addresses` maps the name of each
     configured member to its address. `period`, `lease_duration`, `probe_period` and `probe_limit` are in tenths of a
@@ -102,8 +102,8 @@
     ) -> None:
         self.proxy, self.work, self.clock, self.log, self.name = proxy, work, clock, log, name
         self.member_addresses = member_addresses
-        life = time.time_ns() // 1_000_000 << 8 | secrets.randbits(8)
-        self.datagrams = DatagramSocket(parse_host_port(listen), DatagramCodec(key, name, life), self._handle_datagram)
+        generation = time.time_ns() // 1_000_000 << 8 | secrets.randbits(8)
+        self.datagrams = DatagramSocket(parse_host_port(listen), DatagramCodec(key, name, generation), self._handle_datagram)
         now = clock()
         self.members = Membership(
             self,
@@ -111,7 +111,7 @@
             now,
             name,
             address,
-            life,
+            generation,
             weight,
             period=period,
             timeout=period * 3 // 10,
@@ -120,12 +120,12 @@
         )
         duties = [Duty(f"probe {exchange}", probe_period, probe_limit, cost=0.5) for exchange in proxy.exchange_ids]
         duties.append(Duty("check list", 2 * probe_period, 2 * probe_limit, cost=0.2, priority=2.0, exclusive=False))
-        self.keeper = DutyManager(
+        self.duty_manager = DutyManager(
             self,
             Random(secrets.randbits(64)),
             now,
             name,
-            life,
+            generation,
             frozenset(member_addresses),
             duties,
             lease_duration=lease_duration,
@@ -133,7 +133,7 @@
             vote_timeout=period,
         )
         for duty, counter in (tokens or {}).items():
-            self.keeper.restore_counter(duty, counter)
+            self.duty_manager.restore_counter(duty, counter)
         self.learned: dict[str, tuple[float, int, str]] = {}  # name of a figure to its value, time by the own clock and source
         self.run_counts: dict[str, int] = {}
         work.task_finished = self._duty_run_finished
@@ -151,7 +151,7 @@
 
     def leave(self) -> None:
         """Release all duties and leave the membership; the loop runs until `close`, so that others are informed."""
-        self.keeper.leave(self.clock())
+        self.duty_manager.leave(self.clock())
         self.members.leave(self.clock())
 
     def _run_loop(self) -> None:
@@ -162,15 +162,15 @@
             self.members.tick(now)
             step_count += 1
             if step_count % 4 == 0:
-                self.keeper.tick(now, self.members.active_members())
+                self.duty_manager.tick(now, self.members.active_members())
 
     # --- datagrams ---
 
-    def _handle_datagram(self, kind: int, sender: str, life: int, address: str, body: bytes) -> None:
+    def _handle_datagram(self, kind: int, sender: str, generation: int, address: str, body: bytes) -> None:
         now = self.clock()
         try:
             if kind == MEMBERSHIP:
-                self.members.handle_message(now, sender, life, address, swim.DECODER.decode(body))
+                self.members.handle_message(now, sender, generation, address, swim.DECODER.decode(body))
             elif kind == DUTIES and sender in self.member_addresses:
                 self._handle_duty_message(now, sender, address, messages.DECODER.decode(body))
         except msgspec.MsgspecError:
@@ -179,14 +179,14 @@
     def _handle_duty_message(self, now: int, sender: str, address: str, message: Any) -> None:
         match message:
             case messages.VoteRequest(duty, counter, holder, lease_duration, done_ago):
-                granted, newest = self.keeper.handle_vote_request(
+                granted, newest = self.duty_manager.handle_vote_request(
                     now, duty, FencingToken(counter, holder), lease_duration, done_ago
                 )
                 self._send_duty_message(sender, address, messages.Vote(duty, counter, granted, newest))
             case messages.Vote(duty, counter, granted, newest):
-                self.keeper.handle_vote(now, sender, duty, counter, granted, newest, self.members.active_members())
+                self.duty_manager.handle_vote(now, sender, duty, counter, granted, newest, self.members.active_members())
             case messages.LeaseRelease(duty, counter, holder):
-                self.keeper.handle_release(now, duty, FencingToken(counter, holder))
+                self.duty_manager.handle_release(now, duty, FencingToken(counter, holder))
             case messages.DutyResult(duty, _, _, figure, value, age):
                 self._record_figure(now - max(0, age), duty, figure, value, sender)
 
@@ -199,7 +199,7 @@
                 member = self.members.others.get(name)
                 self._send_duty_message(name, member.address if member is not None else address, message)
 
-    # --- host of Members ---
+    # --- host of Membership ---
 
     def send(self, to: str, address: str, message: swim.Message) -> None:
         self.datagrams.send(to, address, MEMBERSHIP, swim.ENCODER.encode(message))
@@ -213,7 +213,7 @@
     def name_taken(self, address: str) -> None:
         self.log.error("name-taken", member=self.name, address=address)
 
-    # --- host of the Keeper ---
+    # --- host of the DutyManager ---
 
     def request_votes(self, duty: str, token: FencingToken, lease_duration: int, done_ago: int) -> None:
         self._broadcast_duty_message(messages.VoteRequest(duty, token.counter, token.holder, lease_duration, done_ago))
@@ -242,7 +242,7 @@
     # --- duties ---
 
     def _run_duty(self, duty: Duty) -> bool:
-        if not self.keeper.may_act(self.clock(), duty.name):
+        if not self.duty_manager.may_act(self.clock(), duty.name):
             self.not_held.add(duty.name)  # the lease has just expired: not a failure, so no back-off
             return False
         self.run_counts[duty.name] = self.run_counts.get(duty.name, 0) + 1
@@ -252,11 +252,11 @@
     def _duty_run_finished(self, name: str, done: bool) -> None:
         if name in self.not_held:
             self.not_held.discard(name)
-        elif name in self.keeper.states:
+        elif name in self.duty_manager.states:
             if done:
-                self.keeper.record_success(self.clock(), name)
+                self.duty_manager.record_success(self.clock(), name)
             else:
-                self.keeper.record_failure(self.clock(), name)
+                self.duty_manager.record_failure(self.clock(), name)
 
     def _probe(self, duty: Duty, exchange: str) -> bool:
         """Send OPTIONS to an exchange with the lease's fencing token, and share its response time.
@@ -267,7 +267,7 @@
         hop = self.proxy.hops[gw] if gw is not None else None
         if hop is None:
             return True
-        token = self.keeper.token_of(duty.name)
+        token = self.duty_manager.token_of(duty.name)
         answer, sent_at = AsyncResult(), self.clock()
         self.proxy.probe(sent_at, hop, answer.set, f"{exchange};counter={token.counter};holder={token.holder}")
         try:
@@ -281,7 +281,7 @@
                 token.counter + 1,
             )
             self.not_held.add(duty.name)
-            self.keeper.handle_stale_token(self.clock(), duty.name, FencingToken(counter, ""))
+            self.duty_manager.handle_stale_token(self.clock(), duty.name, FencingToken(counter, ""))
             return False
         answer_ms = -1.0 if message is None else (self.clock() - sent_at) / 10
         self._share_figure(duty, token, f"answer ms of {exchange}", answer_ms)
@@ -291,7 +291,9 @@
         """Share the version of the own exchange list; members with an older one of the same epoch request it."""
         subscription = self.proxy.subscribers["exchange-list"].subscription
         if subscription.version >= 0:
-            self._share_figure(duty, self.keeper.token_of(duty.name), f"list {subscription.epoch}", float(subscription.version))
+            self._share_figure(
+                duty, self.duty_manager.token_of(duty.name), f"list {subscription.epoch}", float(subscription.version)
+            )
         return True
 
     def _share_figure(self, duty: Duty, token: FencingToken, figure: str, value: float) -> None:
@@ -336,19 +338,19 @@
     def duties_table(self) -> list[dict[str, Any]]:
         now = self.clock()
         rows = []
-        for name, held in sorted(self.keeper.states.items()):
-            grant = self.keeper.voter.grants.get(name)
+        for name, state in sorted(self.duty_manager.states.items()):
+            grant = self.duty_manager.voter.grants.get(name)
             holder = grant.token.holder.partition("/")[0] if grant is not None and now < grant.expires_at else ""
-            since_done = (now - held.last_done_at) / SECOND
+            since_done = (now - state.last_done_at) / SECOND
             rows.append(
                 {
                     "duty": name,
-                    "nearest": held.preferred_member,
-                    "holder": self.name if held.held_since >= 0 else holder,
-                    "counter": held.claim.counter if held.held_since >= 0 else grant.token.counter if grant else 0,
-                    "mode": "once at most" if held.duty.exclusive else "at least once",
+                    "nearest": state.preferred_member,
+                    "holder": self.name if state.held_since >= 0 else holder,
+                    "counter": state.claim.counter if state.held_since >= 0 else grant.token.counter if grant else 0,
+                    "mode": "once at most" if state.duty.exclusive else "at least once",
                     "done_ago_s": round(since_done, 1),
-                    "overdue": since_done * SECOND > held.duty.limit,
+                    "overdue": since_done * SECOND > state.duty.limit,
                     "runs_here": self.run_counts.get(name, 0),
                 }
             )
--- a/gingergap/edge/proxy.py
+++ b/gingergap/edge/proxy.py
@@ -98,8 +98,8 @@
     `types_by_priority` maps Resource-Priority values to indices in `traffic_types`, `circuits_by_type` has the circuits
     of each type. `wall_time` is the wall time at `now` in seconds, used to convert the start times of exchanges.
     `random_text(length)` returns unguessable text. `default_expires` is in seconds; all other times are in tenths of a
-    millisecond. The arguments from `release_guard` to `overload_span` are passed to the `CallController`; with a `tape`
-    its events and actions are recorded, with a `memory` what has to survive a restart is collected.
+    millisecond. The arguments from `release_guard` to `overload_span` are passed to the `CallController`; with a `trace_buffer`
+    its events and actions are recorded, with a `state_recorder` what has to survive a restart is collected.
 
     A `gw` is the index of an exchange machine, as in `Host`.
     """
@@ -135,12 +135,12 @@
         overload_factor: float,
         overload_span: int,
         trace_buffer: TraceBuffer | None = None,
-        memory: StateRecorder | None = None,
-        recalled: RestoredState | None = None,
+        state_recorder: StateRecorder | None = None,
+        restored_state: RestoredState | None = None,
     ) -> None:
         self.transport, self.log, self.random_text = transport, log, random_text
         self.address, self.domain, self.own_exchange = address, domain, own_exchange
-        self.trace_buffer, self.memory = trace_buffer, memory
+        self.trace_buffer, self.state_recorder = trace_buffer, state_recorder
         self.audit = DialogAudit()
         self.traffic_types, self.types_by_priority, self.circuits_by_type = traffic_types, types_by_priority, circuits_by_type
         self.numbering, self.admission, self.default_expires = numbering, admission, default_expires
@@ -198,12 +198,12 @@
         for number, name, (host, port) in exchanges:
             gw = self._gw_of(name, number)
             self.hops[gw] = Hop("UDP", host, port)
-            if memory is not None:
-                memory.exchange_configured(name, number, f"{host}:{port}", "UDP")
+            if state_recorder is not None:
+                state_recorder.exchange_configured(name, number, f"{host}:{port}", "UDP")
             configured.append(ListEntry(gw, number, GwState.READY, 0))
         self.controller.exchange_list_received(now, configured, True)
-        if recalled is not None:
-            self._restore(now, recalled)
+        if restored_state is not None:
+            self._restore(now, restored_state)
         self.controller.start(now)
         self._perform_action(now, self.subscribers[GROUPS_EVENT], self.subscribers[GROUPS_EVENT].subscription.start(now))
 
@@ -576,8 +576,8 @@
             self.open_dialogs -= 1
             self._count("stand")
             self.transactions.respond(now, call.server, message)
-            if self.memory is not None:
-                self.memory.dialog_established(
+            if self.state_recorder is not None:
+                self.state_recorder.dialog_established(
                     *call.key,
                     DialogRecord(
                         call.traffic_type,
@@ -638,8 +638,8 @@
         self._answer(now, call.server, status, fields)
 
     def _forget(self, call: Call) -> None:
-        if call.established and self.calls.pop(call.index, None) is not None and self.memory is not None:
-            self.memory.dialog_ended(*call.key)
+        if call.established and self.calls.pop(call.index, None) is not None and self.state_recorder is not None:
+            self.state_recorder.dialog_ended(*call.key)
         self.calls.pop(call.index, None)
         if self.calls_by_key.get(call.key) is call:
             del self.calls_by_key[call.key]
@@ -826,8 +826,8 @@
             if hop is None:
                 state = GwState.GONE
             self.log.info("exchange-listed", exchange=line.id, number=line.number, state=line.state, started=line.started)
-            if self.memory is not None:
-                self.memory.exchange_listed(
+            if self.state_recorder is not None:
+                self.state_recorder.exchange_listed(
                     line.id,
                     ListedExchange(
                         line.number,
@@ -887,33 +887,35 @@
 
     # --- state kept over restarts ------------------------------------------------------------------------
 
-    def _restore(self, now: int, recalled: RestoredState) -> None:
+    def _restore(self, now: int, restored_state: RestoredState) -> None:
         """Restore what the previous process stored: the exchange list, learned figures, established dialogs."""
         entries = []
-        for exchange_id, word in recalled.listed.items():
-            if word.state == GwState.GONE and exchange_id not in self.gw_by_id:
+        for exchange_id, listed in restored_state.listed.items():
+            if listed.state == GwState.GONE and exchange_id not in self.gw_by_id:
                 continue  # a machine that is not configured and is gone
-            gw = self._gw_of(exchange_id, word.number)
-            if word.address:
-                self.hops[gw] = Hop(word.transport, *parse_host_port(word.address))
-            state = GwState(word.state) if self.hops[gw] is not None else GwState.GONE
-            entries.append(ListEntry(gw, word.number, state, self._local_start(now, gw, word.started)))
+            gw = self._gw_of(exchange_id, listed.number)
+            if listed.address:
+                self.hops[gw] = Hop(listed.transport, *parse_host_port(listed.address))
+            state = GwState(listed.state) if self.hops[gw] is not None else GwState.GONE
+            entries.append(ListEntry(gw, listed.number, state, self._local_start(now, gw, listed.started)))
         self.controller.exchange_list_received(now, entries, False)
-        gws = [self.gw_by_id.get(exchange_id, -1) for exchange_id in recalled.exchange_ids]
-        learned = recalled.learned._replace(
+        gws = [self.gw_by_id.get(exchange_id, -1) for exchange_id in restored_state.exchange_ids]
+        learned = restored_state.learned._replace(
             now=now,
             exchanges=[
                 known._replace(
                     gw=gws[known.gw],
-                    started=self._local_start(now, gws[known.gw], recalled.starts.get(recalled.exchange_ids[known.gw], 0.0)),
+                    started=self._local_start(
+                        now, gws[known.gw], restored_state.starts.get(restored_state.exchange_ids[known.gw], 0.0)
+                    ),
                 )
-                for known in recalled.learned.exchanges
+                for known in restored_state.learned.exchanges
                 if gws[known.gw] >= 0
             ],
-            pairs=[pair._replace(gw=gws[pair.gw]) for pair in recalled.learned.pairs if gws[pair.gw] >= 0],
+            pairs=[pair._replace(gw=gws[pair.gw]) for pair in restored_state.learned.pairs if gws[pair.gw] >= 0],
         )
-        self.controller.restore(now, learned, recalled.age)
-        for (call_id, tag), record in recalled.dialogs.items():
+        self.controller.restore(now, learned, restored_state.age)
+        for (call_id, tag), record in restored_state.dialogs.items():
             self._restore_dialog(now, (call_id, tag), record)
 
     def _restore_dialog(self, now: int, key: tuple[str, str], record: DialogRecord) -> None:
@@ -947,8 +949,10 @@
 
     def save_learned(self, now: int, max_callers: int) -> None:
         """Store what the decision module has learned, with at most `max_callers` callers."""
-        self.memory.record_learned(self._wall_time(now), self.controller.export_learned(now, max_callers), self.exchange_ids)
-        self.memory.drop_expired_exchanges(self._wall_time(now))
+        self.state_recorder.record_learned(
+            self._wall_time(now), self.controller.export_learned(now, max_callers), self.exchange_ids
+        )
+        self.state_recorder.drop_expired_exchanges(self._wall_time(now))
 
     def _wall_time(self, now: int) -> float:
         return self.wall_time_at_start + (now - self.started_at) / SECOND
--- a/gingergap/edge/proxy_store.py
+++ b/gingergap/edge/proxy_store.py
@@ -51,8 +51,8 @@
         self.folder, self.instance, self.log, self.run_in_thread = folder, instance, log, run_in_thread
         self.list_validity, self.max_dialog_age, self.caller_retention = list_validity, max_dialog_age, caller_retention
         self.max_callers = max_callers
-        self.memory = StateRecorder(list_validity, max_callers, importances)
-        self.book: RecordStore | None = None
+        self.state_recorder = StateRecorder(list_validity, max_callers, importances)
+        self.record_store: RecordStore | None = None
         self.boot_id, self.started_at = read_boot_id(), time.time()
         self.proxy: EdgeProxy | None = None
         self.clock: Callable[[], int] = lambda: 0
@@ -66,23 +66,23 @@
         """Read the state of the previous process; None if the store can't be opened, and then nothing is stored."""
         started_at = time.perf_counter()
         try:
-            self.book = RecordStore(self.folder)
+            self.record_store = RecordStore(self.folder)
             found = restore_state(
-                self.book.items,
+                self.record_store.items,
                 time.time(),
                 time.monotonic(),
                 self.boot_id,
                 list_validity=self.list_validity,
                 max_dialog_age=self.max_dialog_age,
                 caller_retention=self.caller_retention,
-                damage=self.book.damage,
+                damage=self.record_store.damage,
             )
         except BadStoreError as error:
             self.log.error("store-not-open", why=str(error))
-            self.book = None
+            self.record_store = None
             return None
         self.read_ms = (time.perf_counter() - started_at) * 1000
-        for damage in self.book.damage[:20]:
+        for damage in self.record_store.damage[:20]:
             self.log.warning("store-damaged", what=damage)
         self.log.info(
             "recalled",
@@ -96,12 +96,12 @@
         return found
 
     def _mark_written(self, found: RestoredState) -> None:
-        """Tell the memory which records exist, so that it writes only changes and deletes records that are obsolete."""
-        self.memory.listed.update(found.listed)
-        for item in self.book.items("exchange"):
-            self.memory.listed.setdefault(item.key, listed_exchange(item.body))
-        for item in self.book.items("pair"):
-            self.memory.written["pair", item.key] = b""
+        """Tell the recorder which records exist, so that it writes only changes and deletes obsolete records."""
+        self.state_recorder.listed.update(found.listed)
+        for item in self.record_store.items("exchange"):
+            self.state_recorder.listed.setdefault(item.key, listed_exchange(item.body))
+        for item in self.record_store.items("pair"):
+            self.state_recorder.written["pair", item.key] = b""
 
     def start(self, proxy: EdgeProxy, work: Any, clock: Callable[[], int], *, write_interval: float, learn_interval: float) -> None:
         """Start the background tasks on `work`, the proxy's LocalWork; intervals in seconds."""
@@ -136,18 +136,18 @@
         """Collect what the decision module has learned and the duties' token counters."""
         self.proxy.save_learned(self.clock(), self.max_callers)
         for duty, counter in self.token_counters().items():
-            self.memory.record_token(duty, counter)
+            self.state_recorder.record_token(duty, counter)
         return True
 
     def write(self) -> bool:
         """Write all changes as one batch; True if it is on the disk. A failed batch is written again later."""
         with self.write_lock:
             alive = HeartbeatRecord(time.time(), time.monotonic(), self.boot_id, self.instance, self.started_at)
-            changes = self.memory.take_batch(alive)
+            changes = self.state_recorder.take_batch(alive)
             try:
-                self.bytes_written += self.run_in_thread(self.book.commit, changes)
+                self.bytes_written += self.run_in_thread(self.record_store.commit, changes)
             except BadStoreError as error:
-                self.memory.restore_batch(changes)
+                self.state_recorder.restore_batch(changes)
                 self.failures += 1
                 if not self.write_failing:
                     self.write_failing = True
@@ -164,7 +164,7 @@
         """Delete the oldest caller records beyond the limit; False if that failed."""
         with self.write_lock:
             try:
-                self.evicted += self.run_in_thread(self.book.evict, CALLER, self.max_callers)
+                self.evicted += self.run_in_thread(self.record_store.evict, CALLER, self.max_callers)
             except Exception as error:
                 self.log.warning("store-not-evicted", why=str(error))
                 return False
@@ -172,12 +172,12 @@
 
     def close(self) -> None:
         """Write everything and close the store."""
-        if self.book is None:
+        if self.record_store is None:
             return
         if self.proxy is not None:
             self.learn()
             self.write()
-        self.book.close()
+        self.record_store.close()
 
     def figures(self) -> dict[str, Any]:
         """Figures for operators."""
@@ -187,7 +187,7 @@
             "records": self.records_written,
             "bytes": self.bytes_written,
             "failures": self.failures,
-            "waiting": len(self.memory.pending),
+            "waiting": len(self.state_recorder.pending),
             "evicted": self.evicted,
             "read_ms": round(self.read_ms, 1),
             "standing_remembered": self.proxy.counts.get("remembered", 0),
--- a/gingergap/edge/serve.py
+++ b/gingergap/edge/serve.py
@@ -51,8 +51,8 @@
     wall_time: float,
     random_text: Any,
     trace_buffer: TraceBuffer | None = None,
-    memory: StateRecorder | None = None,
-    recalled: RestoredState | None = None,
+    state_recorder: StateRecorder | None = None,
+    restored_state: RestoredState | None = None,
 ) -> EdgeProxy:
     """Build the proxy that the settings describe; the other arguments are those of `EdgeProxy`."""
     traffic_types = [
@@ -96,8 +96,8 @@
         overload_factor=form.cold.multiple,
         overload_span=to_units(form.cold.span_ms) + 1,
         trace_buffer=trace_buffer,
-        memory=memory,
-        recalled=recalled,
+        state_recorder=state_recorder,
+        restored_state=restored_state,
     )
 
 
@@ -129,7 +129,7 @@
         except OSError as error:
             self.log.error("address-taken", listen=self.form.listen, why=error.strerror)
             return 2
-        recalled = self._open_store()
+        restored_state = self._open_store()
         self.proxy = build_proxy(
             self.form,
             self.sockets,
@@ -138,8 +138,8 @@
             time.time(),
             lambda size: secrets.token_hex(size // 2),
             None if self.form.trace is None else self.trace_buffer,
-            None if self.store is None else self.store.memory,
-            recalled,
+            None if self.store is None else self.store.state_recorder,
+            restored_state,
         )
         for signal_number in (signal.SIGTERM, signal.SIGINT):
             gevent.signal_handler(signal_number, self.drain)
@@ -153,10 +153,10 @@
             max_dialog_age=round(self.form.longest_dialog_s * UNITS_PER_SECOND),
         )
         try:
-            self._open_coordination({} if recalled is None else recalled.token_counters)
+            self._open_coordination({} if restored_state is None else restored_state.token_counters)
             if self.store is not None:
                 if self.coordination is not None:
-                    self.store.token_counters = self.coordination.keeper.counters
+                    self.store.token_counters = self.coordination.duty_manager.counters
                 self.store.start(
                     self.proxy,
                     self.work,
@@ -203,10 +203,10 @@
             caller_retention=max(entry.no_answer_time_ms for entry in self.form.traffic_type) / 1000,
             run_in_thread=self._run_in_thread,
         )
-        recalled = self.store.open()
-        if self.store.book is None:
+        restored_state = self.store.open()
+        if self.store.record_store is None:
             self.store = None
-        return recalled
+        return restored_state
 
     @staticmethod
     def _run_in_thread(run: Any, *args: Any) -> Any:
--- a/tests/test_restart_state.py
+++ b/tests/test_restart_state.py
@@ -553,7 +553,7 @@
 def test_a_proxy_without_a_store_works(peers):
     invite, leg = peers.standing()
     peers.within("BYE", invite.call_id)
-    assert peers.proxy.calls == {} and peers.proxy.memory is None
+    assert peers.proxy.calls == {} and peers.proxy.state_recorder is None
     assert tag(invite) == "" and structlog.get_logger() is not None
 
 
--- a/tests/test_trace_versions.py
+++ b/tests/test_trace_versions.py
@@ -169,9 +169,12 @@
 
 
 def test_arguments_in_a_header_have_their_stored_names(peers, recorded):
-    assert peers.proxy.figures.keys() == recorded.sources[0].figures.keys() == ARGUMENTS
-    present = present_arguments(peers.proxy.figures)
-    assert stored_arguments(present) == peers.proxy.figures and present["max_legs"] == peers.proxy.figures["most_legs"]
+    assert peers.proxy.controller_arguments.keys() == recorded.sources[0].figures.keys() == ARGUMENTS
+    present = present_arguments(peers.proxy.controller_arguments)
+    assert (
+        stored_arguments(present) == peers.proxy.controller_arguments
+        and present["max_legs"] == peers.proxy.controller_arguments["most_legs"]
+    )
 
 
 def test_no_present_name_is_the_stored_name_of_something_else():
