--- a/gingergap/service/caller_connection.py
+++ b/gingergap/service/caller_connection.py
@@ -74,7 +74,7 @@
         self.half_closed_at = 0  # tenths of a millisecond
         self.answered_at = 0.0  # seconds; when its latest call was established
 
-    def came(self, data: bytes) -> None:
+    def data_received(self, data: bytes) -> None:
         if self.unreadable:
             return
         self.last_read_at = self.owner.seconds()
--- a/gingergap/service/switch_connections.py
+++ b/gingergap/service/switch_connections.py
@@ -74,7 +74,7 @@
         """Whether a set-up may be sent on it, now or once it is up."""
         return not self.retired and not self.finishing and not self.late
 
-    def came(self, data: bytes) -> None:
+    def data_received(self, data: bytes) -> None:
         self.last_read_at = self.switch.last_read_at = self.switch.now()
         try:
             self.parser.feed(data)
--- a/gingergap/transport/sockets.py
+++ b/gingergap/transport/sockets.py
@@ -64,7 +64,7 @@
         if self.connect((self.hop.host, self.hop.port), timeout, self.sockets.address[0]):
             self.read()
 
-    def came(self, data: bytes) -> None:
+    def data_received(self, data: bytes) -> None:
         try:
             for message in self.framer.iter_messages(data):
                 if isinstance(message, BadMessageError):
--- a/gingergap/transport/stream.py
+++ b/gingergap/transport/stream.py
@@ -1,6 +1,6 @@
 """One stream connection, whatever is spoken on it: read in a greenlet, written without ever blocking, bounded.
 
-Its user says in `came` what bytes mean and in `ended` what the end means. Sending is called from within decisions,
+Its user says in `data_received` what bytes mean and in `ended` what the end means. Sending is called from within decisions,
 where no other greenlet may run: what the kernel won't take at once waits in a queue, and a peer that does not read
 is closed when the queue is full or stands still.
 """
@@ -56,7 +56,7 @@
         if sock is not None:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
-    def came(self, data: bytes) -> None:
+    def data_received(self, data: bytes) -> None:
         """Bytes have come."""
 
     def stays_open(self) -> bool:
@@ -157,7 +157,7 @@
         reason = "an event failed"
         try:
             while not self.closed and (data := self.sock.recv(READ)):
-                self.came(data)
+                self.data_received(data)
                 turn += len(data)
                 if turn >= TURN:
                     turn = 0
--- a/tests/test_service_end.py
+++ b/tests/test_service_end.py
@@ -179,7 +179,7 @@
     came = []
 
     class RecordingStream(Stream):
-        def came(self, data):
+        def data_received(self, data):
             came.append(data)
 
     ours = RecordingStream(gevent_socket.create_connection((host, int(port))), most_queued=1000, longest_write=1.0)
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -163,7 +163,7 @@
     ends, over = [], Event()
 
     class Failing(Stream):
-        def came(self, data):
+        def data_received(self, data):
             raise ValueError(data)
 
         def ended(self, reset):
@@ -187,7 +187,7 @@
     came, over = [], Event()
 
     class Kept(Stream):
-        def came(self, data):
+        def data_received(self, data):
             came.append(data)
 
         def ended(self, reset):
