--- a/gingergap/service/caller_connection.py
+++ b/gingergap/service/caller_connection.py
@@ -95,7 +95,7 @@
         self.owner.calls.caller_unreadable(self.owner.clock(), self)
         self.finish(HALF_CLOSE_TIMEOUT)
 
-    def stays_open(self) -> bool:
+    def eof_received(self) -> bool:
         if self.finishing or not (self.held_set_ups or self in self.owner.calls.by_conn):
             return False
         self.peer_half_closed = True
--- a/gingergap/transport/stream.py
+++ b/gingergap/transport/stream.py
@@ -59,7 +59,7 @@
     def data_received(self, data: bytes) -> None:
         """Bytes have come."""
 
-    def stays_open(self) -> bool:
+    def eof_received(self) -> bool:
         """The peer sends nothing more. Whether the connection is kept for what is still to be written; its user ends it."""
         return False
 
@@ -163,7 +163,7 @@
                     turn = 0
                     gevent.sleep(PAUSE)
             reason = "closed by its peer"
-            kept = not self.closed and self.stays_open()
+            kept = not self.closed and self.eof_received()
         except OSError as error:
             reason = f"read failed: {error}"
         finally:  # also where an event failed: nobody would read on, and what waits here would never end
--- a/tests/test_service_caller_connections.py
+++ b/tests/test_service_caller_connections.py
@@ -195,7 +195,7 @@
     gevent.sleep(0.01)
     for id in ("a" * 16, "b" * 16):
         caller.set_up_received(id, "voice", 1500, "7f", 1, 1, -1, False, False, False, "x")
-    assert caller.stays_open()
+    assert caller.eof_received()
     connections.owner.now += 1
     caller.accept_held_set_ups()
     peer.settimeout(1.0)
