--- a/gingergap/service/caller_connection.py
+++ b/gingergap/service/caller_connection.py
@@ -131,7 +131,7 @@
         """Nobody reads answers on this connection any more; what the peer wrote before may still be read."""
         self.owner.calls.conn_lost(self.owner.clock(), self)
 
-    def ended(self, reset: bool) -> None:
+    def connection_lost(self, reset: bool) -> None:
         self.connections.connection_closed(self)
 
     def is_idle(self) -> bool:
--- a/gingergap/service/switch_connections.py
+++ b/gingergap/service/switch_connections.py
@@ -82,7 +82,7 @@
             self.switch.owner.link_unreadable(self, str(error))
             self.close(True, str(error)[:60])
 
-    def ended(self, reset: bool) -> None:
+    def connection_lost(self, reset: bool) -> None:
         self.switch.link_closed(self, reset and self.up)
 
     # --- messages of the parser ---
--- a/gingergap/transport/sockets.py
+++ b/gingergap/transport/sockets.py
@@ -76,7 +76,7 @@
             gevent.sleep(0)  # let the answer leave before the connection is closed
             self.close(True)
 
-    def ended(self, reset: bool) -> None:
+    def connection_lost(self, reset: bool) -> None:
         self.sockets.connection_over(self, reset)
 
 
--- a/gingergap/transport/stream.py
+++ b/gingergap/transport/stream.py
@@ -1,6 +1,6 @@
 """One stream connection, whatever is spoken on it: read in a greenlet, written without ever blocking, bounded.
 
-Its user says in `data_received` what bytes mean and in `ended` what the end means. Sending is called from within decisions,
+Its user says in `data_received` what bytes mean and in `connection_lost` what the end means. Sending is called from within decisions,
 where no other greenlet may run: what the kernel won't take at once waits in a queue, and a peer that does not read
 is closed when the queue is full or stands still.
 """
@@ -63,7 +63,7 @@
         """The peer sends nothing more. Whether the connection is kept for what is still to be written; its user ends it."""
         return False
 
-    def ended(self, reset: bool) -> None:
+    def connection_lost(self, reset: bool) -> None:
         """The connection is over, once. `reset`: it had been up, so what was under way on it is in doubt."""
 
     def connect(self, address: tuple[str, int], timeout: float, source: str = "") -> bool:
@@ -217,4 +217,4 @@
         for sock in (self.sock, self.opening):  # also one that opens: it would come up all the same, and nobody would read it
             if sock is not None:
                 sock.close()
-        self.ended(reset)
+        self.connection_lost(reset)
--- a/tests/test_service_end.py
+++ b/tests/test_service_end.py
@@ -426,7 +426,7 @@
     ended = []
 
     class RecordingStream(Stream):
-        def ended(self, reset):
+        def connection_lost(self, reset):
             ended.append(reset)
 
     def no_descriptor_left(*args):
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -166,7 +166,7 @@
         def data_received(self, data):
             raise ValueError(data)
 
-        def ended(self, reset):
+        def connection_lost(self, reset):
             ends.append(reset)
             over.set()
 
@@ -190,7 +190,7 @@
         def data_received(self, data):
             came.append(data)
 
-        def ended(self, reset):
+        def connection_lost(self, reset):
             over.set()
 
     listener = socket.socket()
