--- a/gingergap/service/caller_connection.py
+++ b/gingergap/service/caller_connection.py
@@ -144,7 +144,7 @@
 
     def send_line(self, data: bytes) -> bool:
         """Write a line. Returns whether the connection can still be written to."""
-        self.put(data)
+        self.write(data)
         delivered = not self.finishing and self.peer_state() is not PeerState.GONE
         self.finish_if_answered()
         return delivered
@@ -178,7 +178,7 @@
         """Hold a set-up of a caller that has shut down its sending side and may have gone. It is sent a progress; unless that
         causes a reset within RESET_TIME, the set-up is accepted."""
         self.held_set_ups.append(set_up)
-        self.put(json_lines.encode_progress(set_up.id))
+        self.write(json_lines.encode_progress(set_up.id))
 
     def accept_held_set_ups(self) -> None:
         """Accept the set-ups that have been held for RESET_TIME."""
--- a/gingergap/service/process.py
+++ b/gingergap/service/process.py
@@ -135,7 +135,7 @@
         return link.up
 
     def send_on_link(self, link: SwitchConnection, data: bytes) -> bool:
-        link.put(data)
+        link.write(data)
         return not link.closed and not link.finishing
 
     def withdraw_unsent(self, link: SwitchConnection, data: bytes) -> bool:
--- a/gingergap/service/switch_connections.py
+++ b/gingergap/service/switch_connections.py
@@ -144,7 +144,7 @@
         """Write on any connection, or on the next that is opened; at most 1000 messages wait for one."""
         for link in self.links:
             if link.up and link.is_usable():
-                link.put(data)
+                link.write(data)
                 return
         self.unsent.append(data)
         del self.unsent[:-1000]
@@ -169,7 +169,7 @@
         self.last_read_at = link.last_read_at = self.now()
         unsent, self.unsent = self.unsent, []
         for data in unsent:
-            link.put(data)
+            link.write(data)
         self._choose_reporting_link()
         self.owner.link_up(link)
 
--- a/gingergap/transport/sockets.py
+++ b/gingergap/transport/sockets.py
@@ -166,7 +166,7 @@
             connection = self._new(None, hop)
             self.open_traces[hop.host, hop.port] = connection
             gevent.spawn(connection.open, self.connect_timeout)
-        connection.put(data)
+        connection.write(data)
 
     def _send_datagram(self, data: bytes, hop: Hop) -> None:
         for _ in range(3):  # an ICMP error of an earlier datagram is told at the next call
--- a/gingergap/transport/stream.py
+++ b/gingergap/transport/stream.py
@@ -90,7 +90,7 @@
             self.writer = gevent.spawn(self._drain)
         return True
 
-    def put(self, data: bytes) -> None:
+    def write(self, data: bytes) -> None:
         if self.closed or self.finishing:
             return
         if self.sock is not None and not self.queue:
--- a/tests/test_service_end.py
+++ b/tests/test_service_end.py
@@ -90,7 +90,7 @@
     ours = Stream(gevent_socket.create_connection((host, int(port))), most_queued=1 << 24, longest_write=5.0)
     peer, _ = listener.accept()
     answers = b"".join(b"%07d\n" % index for index in range(1_500_000))  # more than the kernel's socket buffers hold
-    ours.put(answers)
+    ours.write(answers)
     assert ours.queue
     gevent.spawn(ours.read)
     ours.finish(5.0)
@@ -187,8 +187,8 @@
     peer.sendall(b"answer")
     peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     peer.close()
-    ours.put(b"more")
-    ours.put(b"more")
+    ours.write(b"more")
+    ours.write(b"more")
     gevent.spawn(ours.read).join(2)
     listener.close()
     assert b"".join(came) == b"answer"
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -201,7 +201,7 @@
     gevent.spawn(stream.read)
     stream.finish(30)
     stream.finish(30)
-    stream.put(b"too late")
+    stream.write(b"too late")
     assert theirs.recv(10) == b""
     assert not stream.closed
     theirs.sendall(b"a last word")
@@ -217,7 +217,7 @@
     stream.sock = ours
     first, second, third = b"1" * 4_000_000, b"2" * 1000, b"3" * 1000
     for data in (first, second, third):
-        stream.put(data)
+        stream.write(data)
     gevent.sleep(0)
     assert not stream.take_back(first)  # some of it has gone
     assert stream.take_back(second) and not stream.take_back(second)
