--- a/gingergap/service/process.py
+++ b/gingergap/service/process.py
@@ -139,7 +139,7 @@
         return not link.closed and not link.finishing
 
     def withdraw_unsent(self, link: SwitchConnection, data: bytes) -> bool:
-        return link.take_back(data)
+        return link.cancel_write(data)
 
     def send_to_switch(self, gw: int, data: bytes) -> None:
         switch = self.switches.get(gw)
--- a/gingergap/transport/stream.py
+++ b/gingergap/transport/stream.py
@@ -113,7 +113,7 @@
         if self.sock is not None and self.writer is None:
             self.writer = gevent.spawn(self._drain)
 
-    def take_back(self, data: bytes) -> bool:
+    def cancel_write(self, data: bytes) -> bool:
         """Whether something that was put waits still and has now been taken out of the queue. The first that waits may be
         being written."""
         for place, waiting in enumerate(self.queue):
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -219,8 +219,8 @@
     for data in (first, second, third):
         stream.write(data)
     gevent.sleep(0)
-    assert not stream.take_back(first)  # some of it has gone
-    assert stream.take_back(second) and not stream.take_back(second)
+    assert not stream.cancel_write(first)  # some of it has gone
+    assert stream.cancel_write(second) and not stream.cancel_write(second)
     got = bytearray()
     with gevent.Timeout(20):
         while len(got) < len(first) + len(third):
