--- a/gingergap/service/caller_connection.py
+++ b/gingergap/service/caller_connection.py
@@ -62,7 +62,7 @@
 
     def __init__(self, connections: CallerConnections, sock: socket.socket, port: int) -> None:
         """`port`: the peer's, by which the log names the connection."""
-        super().__init__(sock, most_queued=MAX_QUEUED_BYTES, longest_write=WRITE_TIMEOUT)
+        super().__init__(sock, max_queued_bytes=MAX_QUEUED_BYTES, write_timeout=WRITE_TIMEOUT)
         self.connections, self.owner = connections, connections.owner
         self.parser = CallerLineParser(self)
         self.port = port
--- a/gingergap/service/switch_connections.py
+++ b/gingergap/service/switch_connections.py
@@ -53,7 +53,7 @@
     """One connection to a switch; handles the messages of its parser (`SwitchMessageHandler`)."""
 
     def __init__(self, switch: SwitchConnections) -> None:
-        super().__init__(None, most_queued=MAX_QUEUED_BYTES, longest_write=WRITE_TIMEOUT)
+        super().__init__(None, max_queued_bytes=MAX_QUEUED_BYTES, write_timeout=WRITE_TIMEOUT)
         self.switch = switch
         self.parser = SwitchMessageParser(self)
         self.up = self.retired = False  # retired: gets no further set-ups
--- a/gingergap/transport/sockets.py
+++ b/gingergap/transport/sockets.py
@@ -56,7 +56,7 @@
     """A stream of SIP, opened by either end. `hop` names its far end; `conn` in it is this connection's number."""
 
     def __init__(self, sockets: "Sockets", sock: socket.socket | None, hop: Hop) -> None:
-        super().__init__(sock, most_queued=sockets.most_queued, longest_write=sockets.longest_write)
+        super().__init__(sock, max_queued_bytes=sockets.max_queued_bytes, write_timeout=sockets.write_timeout)
         self.sockets, self.hop = sockets, hop
         self.framer = Framer()
 
@@ -90,13 +90,13 @@
         gate: Gate | None = None,
         *,
         connect_timeout: float = 0.5,
-        longest_write: float = 5.0,
-        most_queued: int = 1 << 20,
+        write_timeout: float = 5.0,
+        max_queued_bytes: int = 1 << 20,
         most_connections: int = 10_000,
     ) -> None:
         self.owner, self.address, self.gate = owner, address, gate
-        self.connect_timeout, self.longest_write = connect_timeout, longest_write
-        self.most_queued, self.most_connections = most_queued, most_connections
+        self.connect_timeout, self.write_timeout = connect_timeout, write_timeout
+        self.max_queued_bytes, self.most_connections = max_queued_bytes, most_connections
         self.connections: dict[int, Connection] = {}
         self.open_traces: dict[tuple[str, int], Connection] = {}  # by us, for requests
         self.numbers = 0
--- a/gingergap/transport/stream.py
+++ b/gingergap/transport/stream.py
@@ -44,9 +44,9 @@
 class Stream:
     """`most_queued` bytes may wait; a write that stands still for `longest_write` seconds ends the connection."""
 
-    def __init__(self, sock: socket.socket | None, *, most_queued: int, longest_write: float) -> None:
+    def __init__(self, sock: socket.socket | None, *, max_queued_bytes: int, write_timeout: float) -> None:
         self.opening: socket.socket | None = None  # while `connect` waits
-        self.sock, self.most_queued, self.longest_write = sock, most_queued, longest_write
+        self.sock, self.max_queued_bytes, self.write_timeout = sock, max_queued_bytes, write_timeout
         self.queue: deque[bytes] = deque()
         self.queued = 0
         self.closed = self.finishing = False
@@ -104,7 +104,7 @@
             if sent == len(data):
                 return
             data = data[sent:]
-        if self.queued + len(data) > self.most_queued:
+        if self.queued + len(data) > self.max_queued_bytes:
             # A peer that accepts and never reads: what waits for it must not grow.
             gevent.spawn(self.close, True, "write queue over its limit")
             return
@@ -127,7 +127,7 @@
         try:
             while self.queue and not self.closed:
                 data = self.queue[0]
-                with gevent.Timeout(self.longest_write, OSError("stood still")):
+                with gevent.Timeout(self.write_timeout, OSError("stood still")):
                     sent = self.sock.send(data)
                 if self.closed:
                     return
--- a/tests/test_service_end.py
+++ b/tests/test_service_end.py
@@ -87,7 +87,7 @@
 def test_queued_bytes_for_a_slow_reader_are_written_before_its_connection_is_half_closed():
     listener, address = scripted.listener()
     host, port = address.split(":")
-    ours = Stream(gevent_socket.create_connection((host, int(port))), most_queued=1 << 24, longest_write=5.0)
+    ours = Stream(gevent_socket.create_connection((host, int(port))), max_queued_bytes=1 << 24, write_timeout=5.0)
     peer, _ = listener.accept()
     answers = b"".join(b"%07d\n" % index for index in range(1_500_000))  # more than the kernel's socket buffers hold
     ours.write(answers)
@@ -182,7 +182,7 @@
         def data_received(self, data):
             came.append(data)
 
-    ours = RecordingStream(gevent_socket.create_connection((host, int(port))), most_queued=1000, longest_write=1.0)
+    ours = RecordingStream(gevent_socket.create_connection((host, int(port))), max_queued_bytes=1000, write_timeout=1.0)
     peer, _ = listener.accept()
     peer.sendall(b"answer")
     peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -370,7 +370,7 @@
     listener.bind(("127.0.0.1", 0))
     listener.listen(0)  # one connection fits into the backlog
     waiting = gevent_socket.create_connection(listener.getsockname())
-    stream = Stream(None, most_queued=1000, longest_write=1.0)
+    stream = Stream(None, max_queued_bytes=1000, write_timeout=1.0)
     opening = gevent.spawn(stream.connect, listener.getsockname(), 5.0)
     gevent.sleep(0.1)
     stream.close(False, "given up")
@@ -433,7 +433,7 @@
         raise OSError(24, "Too many open files")
 
     monkeypatch.setattr("gingergap.transport.stream.socket.socket", no_descriptor_left)
-    stream = RecordingStream(None, most_queued=1000, longest_write=1.0)
+    stream = RecordingStream(None, max_queued_bytes=1000, write_timeout=1.0)
     assert stream.connect(("127.0.0.1", 9), 1.0) is False
     assert ended == [False] and not stream.nobody_listens
 
@@ -443,7 +443,7 @@
     listener = gevent_socket.socket()
     listener.bind(("127.0.0.1", 0))
     listener.listen(5)
-    stream = Stream(None, most_queued=1000, longest_write=1.0)
+    stream = Stream(None, max_queued_bytes=1000, write_timeout=1.0)
     stream.close(False, "given up")
     assert stream.connect(listener.getsockname(), 1.0) is False
     listener.settimeout(0.1)
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -46,7 +46,7 @@
 @pytest.fixture
 def element():
     owner = Owner()
-    sockets = Sockets(owner, ("127.0.0.1", free_ports(1)[0]), most_queued=200_000)
+    sockets = Sockets(owner, ("127.0.0.1", free_ports(1)[0]), max_queued_bytes=200_000)
     sockets.open()
     yield owner, sockets
     sockets.close()
@@ -174,7 +174,7 @@
     listener.bind(("127.0.0.1", 0))
     listener.listen()
     ours, theirs = socket.create_connection(listener.getsockname()), listener.accept()[0]
-    reader = gevent.spawn(Failing(ours, most_queued=100, longest_write=1.0).read)
+    reader = gevent.spawn(Failing(ours, max_queued_bytes=100, write_timeout=1.0).read)
     theirs.sendall(b"x")
     assert over.wait(10) and ends == [True]
     assert theirs.recv(10) == b""
@@ -197,7 +197,7 @@
     listener.bind(("127.0.0.1", 0))
     listener.listen()
     ours, theirs = socket.create_connection(listener.getsockname()), listener.accept()[0]
-    stream = Kept(ours, most_queued=100, longest_write=1.0)
+    stream = Kept(ours, max_queued_bytes=100, write_timeout=1.0)
     gevent.spawn(stream.read)
     stream.finish(30)
     stream.finish(30)
@@ -213,7 +213,7 @@
 # something taken back.
 def test_what_waits_for_a_peer_that_does_not_read_can_be_taken_back():
     ours, peer = socket.socketpair()
-    stream = Stream(None, most_queued=1 << 24, longest_write=5.0)
+    stream = Stream(None, max_queued_bytes=1 << 24, write_timeout=5.0)
     stream.sock = ours
     first, second, third = b"1" * 4_000_000, b"2" * 1000, b"3" * 1000
     for data in (first, second, third):
