--- a/gingergap/edge/serve.py
+++ b/gingergap/edge/serve.py
@@ -107,7 +107,7 @@
     def __init__(self, form: EdgeForm, log: Any) -> None:
         self.form, self.log = form, log.bind(edge=form.name)
         self.sockets = Sockets(
-            self, parse_host_port(form.listen), max_queued_bytes=form.bounds.queued_bytes, most_connections=form.bounds.connections
+            self, parse_host_port(form.listen), max_queued_bytes=form.bounds.queued_bytes, max_connections=form.bounds.connections
         )
         self.proxy: EdgeProxy | None = None
         self.drain_complete = Event()
--- a/gingergap/transport/sockets.py
+++ b/gingergap/transport/sockets.py
@@ -92,11 +92,11 @@
         connect_timeout: float = 0.5,
         write_timeout: float = 5.0,
         max_queued_bytes: int = 1 << 20,
-        most_connections: int = 10_000,
+        max_connections: int = 10_000,
     ) -> None:
         self.owner, self.address, self.gate = owner, address, gate
         self.connect_timeout, self.write_timeout = connect_timeout, write_timeout
-        self.max_queued_bytes, self.most_connections = max_queued_bytes, most_connections
+        self.max_queued_bytes, self.max_connections = max_queued_bytes, max_connections
         self.connections: dict[int, Connection] = {}
         self.open_traces: dict[tuple[str, int], Connection] = {}  # by us, for requests
         self.numbers = 0
@@ -160,7 +160,7 @@
         if connection is None:
             connection = self.open_traces.get((hop.host, hop.port))
         if connection is None:
-            if self.datagrams is None or len(self.connections) >= self.most_connections:
+            if self.datagrams is None or len(self.connections) >= self.max_connections:
                 gevent.spawn(self.owner.hop_failed, hop, False)
                 return
             connection = self._new(None, hop)
@@ -245,7 +245,7 @@
                     return
                 gevent.sleep(0.05)
                 continue
-            if len(self.connections) >= self.most_connections:
+            if len(self.connections) >= self.max_connections:
                 sock.close()
                 continue
             connection = self._new(sock, Hop("TCP", host, port))
