--- a/gingergap/service/caller_connections.py
+++ b/gingergap/service/caller_connections.py
@@ -12,7 +12,7 @@
 import gevent
 from gevent import socket
 
-from ..transport.stream import PeerState, listening
+from ..transport.stream import PeerState, create_listener
 from .caller_connection import HALF_CLOSE_TIMEOUT, CallerConnection, Owner
 
 LINE_TIMEOUT = 1.5  # seconds in which a connection must have sent its first line, or the rest of a line
@@ -68,7 +68,7 @@
 
     def listen(self, address: tuple[str, int]) -> None:
         """Raises OSError where the address is in use."""
-        self.listener = listening(address)
+        self.listener = create_listener(address)
 
     def start(self) -> None:
         self.acceptor = gevent.spawn(self._accept)
--- a/gingergap/transport/sockets.py
+++ b/gingergap/transport/sockets.py
@@ -17,7 +17,7 @@
 from ..sip.framing import Framer
 from ..sip.message import BadMessageError, Message, parse
 from ..sip.transactions import Hop
-from .stream import Stream, listening
+from .stream import Stream, create_listener
 
 TIMESTAMPNS = 35  # Linux: SO_TIMESTAMPNS, and the kind of its control message
 IP_RECVERR = 11  # Linux: ICMP errors of an unconnected datagram socket can be read with their address
@@ -116,7 +116,7 @@
             if self.gate is not None:
                 self.datagrams.setsockopt(socket.SOL_SOCKET, TIMESTAMPNS, 1)
             self.datagrams.bind(self.address)
-            self.listener = listening(self.address)
+            self.listener = create_listener(self.address)
         except OSError:
             self.datagrams.close()
             raise
--- a/gingergap/transport/stream.py
+++ b/gingergap/transport/stream.py
@@ -20,7 +20,7 @@
 PAUSE = 0.0005  # seconds; a timer, since sleep(0) lets up to fifty others run before the loop looks at timers
 
 
-def listening(address: tuple[str, int]) -> socket.socket:
+def create_listener(address: tuple[str, int]) -> socket.socket:
     """A listener for streams; raises OSError where the address is taken."""
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
