--- a/gingergap/service/caller_connection.py
+++ b/gingergap/service/caller_connection.py
@@ -139,7 +139,7 @@
         if self.owner.seconds() - self.answered_at < ANSWER_SETTLE_TIME:
             return False
         return not (
-            self in self.owner.calls.by_conn or self.queue or self.parser.buffer or not self.peer_half_closed and self.readable()
+            self in self.owner.calls.by_conn or self.queue or self.parser.buffer or not self.peer_half_closed and self.is_readable()
         )
 
     def send_line(self, data: bytes) -> bool:
@@ -151,7 +151,7 @@
 
     def has_unread(self) -> bool:
         """Whether bytes from its peer, or its close, wait to be read."""
-        return self.peer_state() is PeerState.GONE if self.peer_half_closed else self.readable()
+        return self.peer_state() is PeerState.GONE if self.peer_half_closed else self.is_readable()
 
     # --- messages of the parser ---
 
--- a/gingergap/service/caller_connections.py
+++ b/gingergap/service/caller_connections.py
@@ -109,7 +109,7 @@
         """Close the oldest connection that has sent nothing, else the one idle for longest. Connections that had established
         calls are closed last, since releases can be sent only on them."""
         by_conn = self.owner.calls.by_conn
-        idle = [caller for caller in self.open if not (caller in by_conn or caller.queue or caller.readable())]
+        idle = [caller for caller in self.open if not (caller in by_conn or caller.queue or caller.is_readable())]
         if not idle:
             return False
         min(idle, key=lambda caller: (caller.is_known_caller, caller.has_sent_message, caller.last_read_at)).close(
@@ -216,7 +216,7 @@
                     caller.close(True, "bytes and no line")
                 continue
             # Unread bytes count: they may have arrived while the process was suspended.
-            in_use = caller in self.owner.calls.by_conn or caller.readable()
+            in_use = caller in self.owner.calls.by_conn or caller.is_readable()
             if not in_use and (not caller.has_sent_message or caller.parser.buffer or silence > IDLE_TIMEOUT):
                 caller.close(True, "nothing whole in time" if caller.parser.buffer or not caller.has_sent_message else "at rest")
 
--- a/gingergap/service/switch_connections.py
+++ b/gingergap/service/switch_connections.py
@@ -214,7 +214,7 @@
                 # some thousands ended without its caller being told.
                 link.finish(HALF_CLOSE_TIMEOUT)
                 self._choose_reporting_link()
-            elif link.up and link.parser.has_partial_message and now - link.last_read_at > STALL_TIMEOUT and not link.readable():
+            elif link.up and link.parser.has_partial_message and now - link.last_read_at > STALL_TIMEOUT and not link.is_readable():
                 self.owner.link_unreadable(link, "a message stands half")
                 link.close(True, "a message stands half")
         established_calls = self.owner.established_calls(self)
--- a/gingergap/transport/stream.py
+++ b/gingergap/transport/stream.py
@@ -179,7 +179,7 @@
             return PeerState.GONE
         return PeerState.DONE if found else PeerState.THERE
 
-    def readable(self) -> bool:
+    def is_readable(self) -> bool:
         """Whether bytes, or the peer's close, wait to be read."""
         return bool(self._polled(select.POLLIN))
 
