--- a/gingergap/service/switch_connections.py
+++ b/gingergap/service/switch_connections.py
@@ -177,7 +177,7 @@
         if link in self.links:
             self.links.remove(link)
         self.lost_link = self.lost_link or was_up or link.replaces_lost and not link.late
-        self.nobody_listens = not was_up and link.nobody_listens
+        self.nobody_listens = not was_up and link.connection_refused
         if not was_up and not self.unreachable_since:
             self.unreachable_since = self.now()
         if self.reporting_link is link:
--- a/gingergap/transport/stream.py
+++ b/gingergap/transport/stream.py
@@ -51,7 +51,7 @@
         self.queued = 0
         self.closed = self.finishing = False
         self.close_reason = ""
-        self.nobody_listens = False  # the peer's machine said that nobody listens there
+        self.connection_refused = False  # the peer's machine said that nobody listens there
         self.writer: gevent.Greenlet | None = None
         if sock is not None:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -77,7 +77,7 @@
                 sock.bind((source, 0))
             sock.connect(address)
         except OSError as error:
-            self.nobody_listens = isinstance(error, ConnectionRefusedError)
+            self.connection_refused = isinstance(error, ConnectionRefusedError)
             self.close(False, f"not connected: {error}")
             return False
         if self.closed:
