--- a/gingergap/service/process.py
+++ b/gingergap/service/process.py
@@ -19,7 +19,7 @@
 from ..exchange_list.long_poll import Batch, EventBusError, ListedSwitch, events_after, parse_address, state_of
 from ..host import GwState
 from ..platform_settings import BadFieldError, SettingsReader
-from ..transport.stream import PAUSE
+from ..transport.stream import YIELD_TIME
 from . import early_signals
 from .caller_connection import CallerConnection
 from .caller_connections import OVERDUE_HALF_CLOSE_TIMEOUT, CallerConnections
@@ -226,7 +226,7 @@
             slept_at = self.seconds()
             gevent.sleep(TICK)
             if self.seconds() - slept_at > 2 * TICK:
-                gevent.sleep(PAUSE)  # the process was suspended: what arrived meanwhile is read before timeouts are applied
+                gevent.sleep(YIELD_TIME)  # the process was suspended: what arrived meanwhile is read before timeouts are applied
             ticks += 1
             try:
                 self.callers.check_half_closed()
--- a/gingergap/transport/stream.py
+++ b/gingergap/transport/stream.py
@@ -17,7 +17,7 @@
 TURN = 16_384  # bytes that one connection may bring before others have their turn
 BACKLOG = 512
 READ_OUT = 0.1  # seconds in which what a peer wrote before it reset the connection is still read
-PAUSE = 0.0005  # seconds; a timer, since sleep(0) lets up to fifty others run before the loop looks at timers
+YIELD_TIME = 0.0005  # seconds; a timer, since sleep(0) lets up to fifty others run before the loop looks at timers
 
 
 def create_listener(address: tuple[str, int]) -> socket.socket:
@@ -161,7 +161,7 @@
                 turn += len(data)
                 if turn >= TURN:
                     turn = 0
-                    gevent.sleep(PAUSE)
+                    gevent.sleep(YIELD_TIME)
             reason = "closed by its peer"
             kept = not self.closed and self.eof_received()
         except OSError as error:
