--- a/gingergap/service/caller_connection.py
+++ b/gingergap/service/caller_connection.py
@@ -116,11 +116,11 @@
         if self.closed or self.finishing:
             return False
         match self.peer_state():
-            case PeerState.GONE:
+            case PeerState.CLOSED:
                 return False
-            case PeerState.DONE:
+            case PeerState.HALF_CLOSED:
                 return self.peer_half_closed and self.owner.clock() - self.half_closed_at >= RESET_TIME
-            case PeerState.THERE:
+            case PeerState.OPEN:
                 return True
 
     def _write_failed(self, error: OSError) -> None:
@@ -145,13 +145,13 @@
     def send_line(self, data: bytes) -> bool:
         """Write a line. Returns whether the connection can still be written to."""
         self.write(data)
-        delivered = not self.finishing and self.peer_state() is not PeerState.GONE
+        delivered = not self.finishing and self.peer_state() is not PeerState.CLOSED
         self.finish_if_answered()
         return delivered
 
     def has_unread(self) -> bool:
         """Whether bytes from its peer, or its close, wait to be read."""
-        return self.peer_state() is PeerState.GONE if self.peer_half_closed else self.is_readable()
+        return self.peer_state() is PeerState.CLOSED if self.peer_half_closed else self.is_readable()
 
     # --- messages of the parser ---
 
@@ -167,11 +167,11 @@
         self.has_sent_set_up = True
         self.connections.close_if_reset(id)
         match self.peer_state():
-            case PeerState.GONE:
+            case PeerState.CLOSED:
                 self.owner.detail_log("set-up-of-gone-caller", id=id)
-            case PeerState.DONE:
+            case PeerState.HALF_CLOSED:
                 self._hold(HeldSetUp(self.owner.clock(), id, *arguments))
-            case PeerState.THERE:
+            case PeerState.OPEN:
                 self.owner.calls.set_up_received(self.owner.clock(), self, id, *arguments)
 
     def _hold(self, set_up: HeldSetUp) -> None:
--- a/gingergap/service/caller_connections.py
+++ b/gingergap/service/caller_connections.py
@@ -185,7 +185,7 @@
 
     def _last_caller(self) -> CallerConnection | None:
         """Any connection left at the end; one with part of a line in preference to one that may be a health check."""
-        left = [caller for caller in self.open if not (caller.finishing or caller.peer_state() is PeerState.GONE)]
+        left = [caller for caller in self.open if not (caller.finishing or caller.peer_state() is PeerState.CLOSED)]
         return max(left, key=lambda caller: (caller.has_sent_message, len(caller.parser.buffer)), default=None)
 
     # --- closing ---
@@ -193,7 +193,7 @@
     def close_if_reset(self, id: str) -> None:
         """Close the connection of the open set-up `id`, received again on another connection, if its peer has reset it."""
         call = self.owner.calls.by_id.get(id)
-        if call is not None and call.conn is not None and call.conn.peer_state() is PeerState.GONE:
+        if call is not None and call.conn is not None and call.conn.peer_state() is PeerState.CLOSED:
             call.conn.close(True, "its peer has gone, and its set-up came again elsewhere")
 
     def check_half_closed(self) -> None:
@@ -201,7 +201,7 @@
         for caller in list(self.half_closed_by_peer):
             if caller.finishing:
                 continue
-            if caller.peer_state() is PeerState.GONE:
+            if caller.peer_state() is PeerState.CLOSED:
                 caller.close(True, "closed by its peer")
             else:
                 caller.accept_held_set_ups()
--- a/gingergap/transport/stream.py
+++ b/gingergap/transport/stream.py
@@ -36,9 +36,9 @@
 class PeerState(Enum):
     """Whether a connection's peer may still send and read."""
 
-    THERE = "no sign of its end"
-    DONE = "it has shut down its sending side, and may have closed both"
-    GONE = "the connection was reset, or both sides of it are closed"
+    OPEN = "no sign of its end"
+    HALF_CLOSED = "it has shut down its sending side, and may have closed both"
+    CLOSED = "the connection was reset, or both sides of it are closed"
 
 
 class Stream:
@@ -173,11 +173,11 @@
     def peer_state(self) -> PeerState:
         """What is known of the peer now, be it read or not."""
         if self.closed:
-            return PeerState.GONE
+            return PeerState.CLOSED
         found = self._polled(select.POLLRDHUP)
         if found & (select.POLLHUP | select.POLLERR):
-            return PeerState.GONE
-        return PeerState.DONE if found else PeerState.THERE
+            return PeerState.CLOSED
+        return PeerState.HALF_CLOSED if found else PeerState.OPEN
 
     def is_readable(self) -> bool:
         """Whether bytes, or the peer's close, wait to be read."""
