--- a/gingergap/edge/serve.py
+++ b/gingergap/edge/serve.py
@@ -418,10 +418,10 @@
                 )
         return rows
 
-    def got(self, message: Message, hop: Hop) -> None:
+    def message_received(self, message: Message, hop: Hop) -> None:
         self._guarded(self.proxy.got, clock(), message, hop)
 
-    def got_bad(self, bad: BadMessageError, hop: Hop) -> None:
+    def invalid_message_received(self, bad: BadMessageError, hop: Hop) -> None:
         self._guarded(self.proxy.got_bad, clock(), bad, hop)
 
     def hop_failed(self, hop: Hop, reset: bool) -> None:
--- a/gingergap/standins/exchange.py
+++ b/gingergap/standins/exchange.py
@@ -279,7 +279,7 @@
         elif self.running:
             self._handle_response(message, hop)
 
-    def got_bad(self, bad: BadMessageError, hop: Hop) -> None:
+    def invalid_message_received(self, bad: BadMessageError, hop: Hop) -> None:
         self.capture.note("bad message", why=str(bad), peer=f"{hop.host}:{hop.port}")
 
     def hop_failed(self, hop: Hop, reset: bool) -> None:
--- a/gingergap/standins/sip_element.py
+++ b/gingergap/standins/sip_element.py
@@ -37,7 +37,7 @@
             gevent.sleep(0.01)
             self.transactions.fire_timers(current_units())
 
-    def got(self, message: Message, hop: Hop) -> None:
+    def message_received(self, message: Message, hop: Hop) -> None:
         try:
             self.handle_message(message, hop)
         except BadMessageError as bad:
@@ -47,7 +47,7 @@
     def handle_message(self, message: Message, hop: Hop) -> None:
         self.transactions.received(current_units(), message, hop)
 
-    def got_bad(self, bad: BadMessageError, hop: Hop) -> None:
+    def invalid_message_received(self, bad: BadMessageError, hop: Hop) -> None:
         pass
 
     def hop_failed(self, hop: Hop, reset: bool) -> None:
--- a/gingergap/transport/sockets.py
+++ b/gingergap/transport/sockets.py
@@ -45,9 +45,9 @@
 class Owner(Protocol):
     """Who uses the sockets. Called from greenlets, one at a time."""
 
-    def got(self, message: Message, hop: Hop) -> None: ...
+    def message_received(self, message: Message, hop: Hop) -> None: ...
 
-    def got_bad(self, bad: BadMessageError, hop: Hop) -> None: ...
+    def invalid_message_received(self, bad: BadMessageError, hop: Hop) -> None: ...
 
     def hop_failed(self, hop: Hop, reset: bool) -> None: ...
 
@@ -68,11 +68,11 @@
         try:
             for message in self.framer.iter_messages(data):
                 if isinstance(message, BadMessageError):
-                    self.sockets.owner.got_bad(message, self.hop)
+                    self.sockets.owner.invalid_message_received(message, self.hop)
                 else:
                     self.sockets.deliver(message, bytes(message), self.hop)
         except BadMessageError as bad:
-            self.sockets.owner.got_bad(bad, self.hop)
+            self.sockets.owner.invalid_message_received(bad, self.hop)
             gevent.sleep(0)  # let the answer leave before the connection is closed
             self.close(True)
 
@@ -187,9 +187,9 @@
 
     def deliver(self, message: Message, data: bytes, hop: Hop, at: float | None = None) -> None:
         if self.gate is None:
-            self.owner.got(message, hop)
+            self.owner.message_received(message, hop)
         else:
-            self.gate.incoming(data, hop, lambda: self.owner.got(message, hop), at)
+            self.gate.incoming(data, hop, lambda: self.owner.message_received(message, hop), at)
 
     def _read_datagrams(self) -> None:
         sock = self.datagrams
@@ -219,7 +219,7 @@
             try:
                 message = parse(data)
             except BadMessageError as bad:
-                self.owner.got_bad(bad, hop)
+                self.owner.invalid_message_received(bad, hop)
                 continue
             self.deliver(message, data, hop, at)
 
--- a/tests/test_transport.py
+++ b/tests/test_transport.py
@@ -24,11 +24,11 @@
         self.messages, self.bad, self.failed = [], [], []
         self.happened = Event()
 
-    def got(self, message, hop):
+    def message_received(self, message, hop):
         self.messages.append((message, hop))
         self.happened.set()
 
-    def got_bad(self, bad, hop):
+    def invalid_message_received(self, bad, hop):
         self.bad.append(bad)
         self.happened.set()
 
