--- a/gingergap/transport/__init__.py
+++ b/gingergap/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Datagram and stream sockets that carry SIP, in gevent greenlets; used by the edge and by the stand-ins."""
+"""Sockets that run on gevent: bounded stream connections, and the UDP and TCP sockets of a SIP element."""
--- a/gingergap/transport/stream.py
+++ b/gingergap/transport/stream.py
@@ -1,8 +1,8 @@
-"""One stream connection, whatever is spoken on it: read in a greenlet, written without ever blocking, bounded.
+"""A TCP connection that is read in a greenlet and written without blocking through a bounded queue.
 
-Its user says in `data_received` what bytes mean and in `connection_lost` what the end means. Sending is called from within decisions,
-where no other greenlet may run: what the kernel won't take at once waits in a queue, and a peer that does not read
-is closed when the queue is full or stands still.
+Subclasses implement the protocol in the callbacks `data_received`, `eof_received` and `connection_lost`, which are named
+as in asyncio. `write` never switches greenlets, since it is called while a decision is made: bytes that the kernel does not
+accept at once are queued. A connection whose peer does not read is closed when the queue is full or a write times out.
 """
 
 import os
@@ -13,20 +13,20 @@
 import gevent
 from gevent import socket
 
-READ = 16_384
-TURN = 16_384  # bytes that one connection may bring before others have their turn
-BACKLOG = 512
-READ_OUT = 0.1  # seconds in which what a peer wrote before it reset the connection is still read
-YIELD_TIME = 0.0005  # seconds; a timer, since sleep(0) lets up to fifty others run before the loop looks at timers
+READ_SIZE = 16_384
+MAX_BYTES_PER_TURN = 16_384  # read from one connection before other greenlets run
+LISTEN_BACKLOG = 512
+READ_TIME_AFTER_ERROR = 0.1  # seconds after a failed write in which bytes that the peer wrote before are still read
+YIELD_TIME = 0.0005  # seconds; more than 0, since up to fifty sleep(0) callbacks run before the loop checks timers
 
 
 def create_listener(address: tuple[str, int]) -> socket.socket:
-    """A listener for streams; raises OSError where the address is taken."""
+    """Open a TCP listener. Raises OSError if the address is in use."""
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.bind(address)
-        listener.listen(BACKLOG)
+        listener.listen(LISTEN_BACKLOG)
     except OSError:
         listener.close()
         raise
@@ -34,44 +34,51 @@
 
 
 class PeerState(Enum):
-    """Whether a connection's peer may still send and read."""
+    """Whether the peer of a connection can still send and receive."""
 
-    OPEN = "no sign of its end"
-    HALF_CLOSED = "it has shut down its sending side, and may have closed both"
-    CLOSED = "the connection was reset, or both sides of it are closed"
+    OPEN = "no close seen"
+    HALF_CLOSED = "it has shut down its sending side, and may have closed the connection"
+    CLOSED = "the connection was reset, or is closed in both directions"
 
 
 class Stream:
-    """`most_queued` bytes may wait; a write that stands still for `longest_write` seconds ends the connection."""
+    """A connection, accepted (`sock`) or to be opened with `connect` (None).
+
+    At most `max_queued_bytes` are queued; a write without progress for `write_timeout` seconds closes the connection.
+    """
 
     def __init__(self, sock: socket.socket | None, *, max_queued_bytes: int, write_timeout: float) -> None:
-        self.opening: socket.socket | None = None  # while `connect` waits
+        self.connecting_sock: socket.socket | None = None  # while `connect` blocks
         self.sock, self.max_queued_bytes, self.write_timeout = sock, max_queued_bytes, write_timeout
         self.queue: deque[bytes] = deque()
-        self.queued = 0
-        self.closed = self.finishing = False
+        self.queued = 0  # bytes
+        self.closed = self.finishing = False  # finishing: no more writes are accepted, bytes are still read
         self.close_reason = ""
-        self.connection_refused = False  # the peer's machine said that nobody listens there
-        self.writer: gevent.Greenlet | None = None
+        self.connection_refused = False  # nothing listens at the peer's address
+        self.write_greenlet: gevent.Greenlet | None = None
         if sock is not None:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes have come."""
+        """Called with the bytes of each read."""
 
     def eof_received(self) -> bool:
-        """The peer sends nothing more. Whether the connection is kept for what is still to be written; its user ends it."""
+        """Called when the peer has shut down its sending side. Returns whether to keep the connection open for writing; then
+        the subclass closes it."""
         return False
 
     def connection_lost(self, reset: bool) -> None:
-        """The connection is over, once. `reset`: it had been up, so what was under way on it is in doubt."""
+        """Called once, when the connection is closed. `reset`: it had been established, so that data in flight may be lost."""
 
     def connect(self, address: tuple[str, int], timeout: float, source: str = "") -> bool:
-        """Open it, within seconds; what waits in the queue leaves then. Blocks its greenlet."""
+        """Open the connection within `timeout` seconds, from the local address `source` if given, then write the queue.
+
+        Blocks the calling greenlet. Returns False if the connection could not be opened or was closed meanwhile.
+        """
         if self.closed:
             return False
         try:
-            sock = self.opening = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+            sock = self.connecting_sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
             sock.settimeout(timeout)
             if source:
                 sock.bind((source, 0))
@@ -82,15 +89,16 @@
             return False
         if self.closed:
             return False
-        self.opening = None
+        self.connecting_sock = None
         sock.settimeout(None)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.sock = sock
         if self.queue:
-            self.writer = gevent.spawn(self._drain)
+            self.write_greenlet = gevent.spawn(self._write_queue)
         return True
 
     def write(self, data: bytes) -> None:
+        """Write or queue bytes; ignored once the connection is closed or half-closed."""
         if self.closed or self.finishing:
             return
         if self.sock is not None and not self.queue:
@@ -105,29 +113,29 @@
                 return
             data = data[sent:]
         if self.queued + len(data) > self.max_queued_bytes:
-            # A peer that accepts and never reads: what waits for it must not grow.
+            # A peer that accepts the connection and never reads must not make the queue grow without bound.
             gevent.spawn(self.close, True, "write queue over its limit")
             return
         self.queue.append(data)
         self.queued += len(data)
-        if self.sock is not None and self.writer is None:
-            self.writer = gevent.spawn(self._drain)
+        if self.sock is not None and self.write_greenlet is None:
+            self.write_greenlet = gevent.spawn(self._write_queue)
 
     def cancel_write(self, data: bytes) -> bool:
-        """Whether something that was put waits still and has now been taken out of the queue. The first that waits may be
-        being written."""
-        for place, waiting in enumerate(self.queue):
-            if waiting is data and (place > 0 or self.sock is None):
-                del self.queue[place]
+        """Remove an object passed to `write` from the queue. Returns False if it is not queued, or is the first in the queue
+        of an open connection, as that may be partly written."""
+        for index, queued_data in enumerate(self.queue):
+            if queued_data is data and (index > 0 or self.sock is None):
+                del self.queue[index]
                 self.queued -= len(data)
                 return True
         return False
 
-    def _drain(self) -> None:
+    def _write_queue(self) -> None:
         try:
             while self.queue and not self.closed:
                 data = self.queue[0]
-                with gevent.Timeout(self.write_timeout, OSError("stood still")):
+                with gevent.Timeout(self.write_timeout, OSError("timed out")):
                     sent = self.sock.send(data)
                 if self.closed:
                     return
@@ -141,63 +149,63 @@
         except OSError as error:
             self._write_failed(error)
         finally:
-            self.writer = None
+            self.write_greenlet = None
 
     def _write_failed(self, error: OSError) -> None:
-        """Nothing more can be written. What the peer wrote before may stand unread: it is read first."""
+        """Close after a delay, since bytes that the peer wrote before may still be unread."""
         self.finishing = True
         self.queue.clear()
         self.queued = 0
-        gevent.spawn_later(READ_OUT, self.close, True, f"write failed: {error}")
+        gevent.spawn_later(READ_TIME_AFTER_ERROR, self.close, True, f"write failed: {error}")
 
     def read(self) -> None:
-        """Read until the end; runs in a greenlet of its own."""
-        turn = 0
-        kept = False
-        reason = "an event failed"
+        """Read until the connection ends. Runs in a greenlet of its own."""
+        bytes_this_turn = 0
+        keep_open = False
+        reason = "exception in an event handler"
         try:
-            while not self.closed and (data := self.sock.recv(READ)):
+            while not self.closed and (data := self.sock.recv(READ_SIZE)):
                 self.data_received(data)
-                turn += len(data)
-                if turn >= TURN:
-                    turn = 0
+                bytes_this_turn += len(data)
+                if bytes_this_turn >= MAX_BYTES_PER_TURN:
+                    bytes_this_turn = 0
                     gevent.sleep(YIELD_TIME)
             reason = "closed by its peer"
-            kept = not self.closed and self.eof_received()
+            keep_open = not self.closed and self.eof_received()
         except OSError as error:
             reason = f"read failed: {error}"
-        finally:  # also where an event failed: nobody would read on, and what waits here would never end
-            if not kept:
+        finally:  # also after an exception in a callback: nothing would be read any more, and what waits would never end
+            if not keep_open:
                 self.close(True, reason)
 
     def peer_state(self) -> PeerState:
-        """What is known of the peer now, be it read or not."""
+        """State of the peer as the kernel knows it now, including a close that has not been read yet."""
         if self.closed:
             return PeerState.CLOSED
-        found = self._polled(select.POLLRDHUP)
-        if found & (select.POLLHUP | select.POLLERR):
+        ready = self._poll(select.POLLRDHUP)
+        if ready & (select.POLLHUP | select.POLLERR):
             return PeerState.CLOSED
-        return PeerState.HALF_CLOSED if found else PeerState.OPEN
+        return PeerState.HALF_CLOSED if ready else PeerState.OPEN
 
     def is_readable(self) -> bool:
-        """Whether bytes, or the peer's close, wait to be read."""
-        return bool(self._polled(select.POLLIN))
+        """Whether bytes, or the peer's close, are waiting to be read."""
+        return bool(self._poll(select.POLLIN))
 
-    def _polled(self, events: int) -> int:
-        """Which of the events are there now; a reset, and both sides closed, always count. 0 where it is not up."""
+    def _poll(self, events: int) -> int:
+        """The poll events that are set, of `events` and always POLLHUP and POLLERR; 0 if the connection is not open."""
         if self.closed or self.sock is None:
             return 0
         poll = select.poll()
         poll.register(self.sock.fileno(), events)
-        return next((found for _, found in poll.poll(0)), 0)
+        return next((ready for _, ready in poll.poll(0)), 0)
 
-    def finish(self, within: float) -> None:
-        """Write what is queued and no more, and read on until the far end has closed too, `within` seconds at most: what
-        it wrote before it noticed still comes."""
+    def finish(self, timeout: float) -> None:
+        """Half-close: write what is queued, then shut down the sending side. Reading goes on until the peer closes too, for
+        `timeout` seconds at most, so that what it wrote before it noticed is received."""
         if self.closed or self.finishing or self.sock is None:
             return
         self.finishing = True
-        gevent.spawn_later(within, self.close, True, "half closed long enough")
+        gevent.spawn_later(timeout, self.close, True, "half-close timed out")
         if not self.queue:
             self._half_close()
 
@@ -205,16 +213,17 @@
         try:
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
-            self.close(True, "had gone when it was half closed")
+            self.close(True, "peer was gone at the half-close")
 
     def close(self, reset: bool = True, reason: str = "") -> None:
-        """Close; the user hears of it, once, so that what was under way on it ends. `reason` is for logs."""
+        """Close and call `connection_lost` with `reset`; a second call does nothing. `reason` is for logs."""
         if self.closed:
             return
         self.closed = True
         self.close_reason = reason
         self.queue.clear()
-        for sock in (self.sock, self.opening):  # also one that opens: it would come up all the same, and nobody would read it
+        # A connecting socket is closed too: it would be established all the same, and nothing would read it.
+        for sock in (self.sock, self.connecting_sock):
             if sock is not None:
                 sock.close()
         self.connection_lost(reset)
