--- a/tests/test_service_end.py
+++ b/tests/test_service_end.py
@@ -16,7 +16,7 @@
 import test_service_process as scripted
 from gevent import socket as gevent_socket
 from test_service_calls import SDP
-from trial import HANGING, MIXED, Trial
+from trial import HANGING_REPLIES, MIXED_REPLIES, Trial
 from trial_peers import Reply, now
 from trial_rules import KILL_AFTER, broken_rules
 
@@ -34,7 +34,7 @@
         trial = Trial(seed, Path(folder))
         began = now()
         told = await scenario(trial) or {}
-        await trial.end()
+        await trial.finish()
         return broken_rules(trial.record, told, began + (now() - began))
 
     with tempfile.TemporaryDirectory() as folder:
@@ -45,7 +45,9 @@
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_process_exits_before_the_earliest_sigkill_while_callers_keep_sending(seed):
     async def scenario(trial):
-        await trial.begin([MIXED, HANGING, [Reply.ANSWER], [Reply.HANG], [Reply.LATE], [Reply.RESET, Reply.ANSWER]], delay=3.5)
+        await trial.start(
+            [MIXED_REPLIES, HANGING_REPLIES, [Reply.ANSWER], [Reply.HANG], [Reply.LATE], [Reply.RESET, Reply.ANSWER]], delay=3.5
+        )
         for _ in range(6):
             trial.add_caller()
         await asyncio.sleep(1.5)
--- a/tests/test_service_event_bus.py
+++ b/tests/test_service_event_bus.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 import pytest
-from trial import TOLD_AFTER_RELOAD, TOLD_AFTER_TROUBLE, Trial, entry, now
+from trial import DRAIN_LIMIT_AFTER_FAULT, DRAIN_LIMIT_AFTER_RELOAD, Trial, now, topology_entry
 from trial_peers import BusFault, Reply
 
 
@@ -14,15 +14,15 @@
 
     async def play(folder):
         trial = Trial(1, Path(folder))
-        await trial.begin([[Reply.ANSWER], [Reply.ANSWER]])
+        await trial.start([[Reply.ANSWER], [Reply.ANSWER]])
         await asyncio.sleep(0.5)
         bus, number, since = await scenario(trial)
-        while not any(after >= number for _, after in bus.asked):
+        while not any(after >= number for _, after in bus.requests):
             if now() - since > 15:
                 return 15.0
             await asyncio.sleep(0.02)
-        delay = next(at for at, after in bus.asked if after >= number) - since
-        await trial.end(0)
+        delay = next(at for at, after in bus.requests if after >= number) - since
+        await trial.finish(0)
         return delay
 
     with tempfile.TemporaryDirectory() as folder:
@@ -30,7 +30,7 @@
 
 
 def publish_drain(trial):
-    trial.tell(entry(trial.switches[0], "terminating"))
+    trial.publish(topology_entry(trial.switches[0], "terminating"))
     return len(trial.buses[0].events)
 
 
@@ -46,7 +46,7 @@
         await asyncio.sleep(2.0)
         return bus, publish_drain(trial), now()
 
-    assert seconds_until_applied(scenario) < TOLD_AFTER_TROUBLE
+    assert seconds_until_applied(scenario) < DRAIN_LIMIT_AFTER_FAULT
 
 
 # Guards against requests that keep waiting on a bus which has recovered in the meantime.
@@ -61,7 +61,7 @@
         bus.set_fault(BusFault.NONE)
         return bus, number, now()
 
-    assert seconds_until_applied(scenario) < TOLD_AFTER_TROUBLE
+    assert seconds_until_applied(scenario) < DRAIN_LIMIT_AFTER_FAULT
 
 
 # Guards against a bus that was down being retried too late.
@@ -75,7 +75,7 @@
         await bus.listen()
         return bus, number, now()
 
-    assert seconds_until_applied(scenario) < TOLD_AFTER_TROUBLE
+    assert seconds_until_applied(scenario) < DRAIN_LIMIT_AFTER_FAULT
 
 
 # Guards against configurations reloaded in quick succession leaving the process on a bus that has gone, or ignoring a slow one.
@@ -93,4 +93,4 @@
             bus.reset_all()
         return buses[-1], publish_drain(trial), since
 
-    assert seconds_until_applied(scenario) < TOLD_AFTER_RELOAD
+    assert seconds_until_applied(scenario) < DRAIN_LIMIT_AFTER_RELOAD
--- a/tests/trial.py
+++ b/tests/trial.py
@@ -1,7 +1,8 @@
-"""A short dense trial of a few service processes among peers that fail, by a seed; and the rules judged from what passed.
+"""A short randomised fault-injection trial: a few service processes among faulty peers, drawn from a seed.
 
-By hand: `.venv/bin/python tests/trial.py FIRST LAST [SIDE_BY_SIDE]` plays the seeds of a range and prints what broke.
-With TRIAL_TRACE naming a folder, what is known of each broken rule is written there.
+The rules in `trial_rules` are checked against what the peers recorded. By hand: `.venv/bin/python tests/trial.py FIRST LAST
+[WORKERS]` plays a range of seeds and prints the broken rules. If TRIAL_TRACE names a folder, what was recorded of each
+broken rule is written there.
 """
 
 import asyncio
@@ -18,10 +19,10 @@
 from test_service_calls import SETTINGS
 from trial_peers import (
     BadCaller,
-    Bus,
     BusFault,
     Caller,
     CallerFault,
+    EventBus,
     Habit,
     Reply,
     Switch,
@@ -29,21 +30,21 @@
     now,
     own_address,
 )
-from trial_rules import KILL_AFTER, MEASURING, Record, Stop, broken_rules, trace
+from trial_rules import CLOCK_TOLERANCE, KILL_AFTER, Record, Stop, broken_rules, write_trace
 
-TOLD_AFTER_TROUBLE = 6.0  # seconds from when the bus had a change and could be reached
-TOLD_AFTER_RELOAD = 4.0
-MOST_SHOWN = 6  # broken rules a seed
+DRAIN_LIMIT_AFTER_FAULT = 6.0  # seconds from when the bus has the drain and can be reached
+DRAIN_LIMIT_AFTER_RELOAD = 4.0  # seconds
+MAX_SHOWN_RULES = 6  # per seed
 
 
-def entry(switch: Switch, state: str = "in_service", boot_ms: int = 0) -> dict:
+def topology_entry(switch: Switch, state: str = "in_service", boot_ms: int = 0) -> dict:
     return {"uid": switch.uid, "endpoint": switch.address, "pod_group": switch.number, "state": state, "boot_ms": boot_ms}
 
 
 class Node:
     """One service process and its configuration."""
 
-    def __init__(self, name: str, folder: Path, bus: Bus, known: dict, record: Record, sockets: int = 128) -> None:
+    def __init__(self, name: str, folder: Path, bus: EventBus, known: dict, record: Record, sockets: int = 128) -> None:
         self.name, self.folder, self.bus, self.record, self.sockets = name, folder, bus, record, sockets
         self.port = free_port()
         self.known = known
@@ -51,10 +52,10 @@
         self.log_path = record.logs[name] = folder / f"{name}.log"
         self.process: asyncio.subprocess.Process | None = None
         self.ready = False
-        self.trouble_until = -1e9
+        self.fault_until = -1e9
         self.reloaded_at = -1e9
 
-    def write(self) -> None:
+    def write_config(self) -> None:
         config = {
             "name": self.name, "listen": f"{own_address()}:{self.port}", "seed": "8c1f30d27a5be964", "bus": self.bus.address,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": self.sockets}, "settings": SETTINGS, "known": self.known,
@@ -63,7 +64,7 @@
 
     async def start(self) -> None:
         self.known = {"offset": len(self.bus.events), "batch": list(self.bus.events)}
-        self.write()
+        self.write_config()
         with self.log_path.open("a") as log:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable, "-m", "gingergap", "serve", stdout=log, stderr=log,
@@ -82,19 +83,19 @@
             except (OSError, ValueError):
                 pass
             await asyncio.sleep(0.02)
-        self.record.crashes.append(f"{self.name} ended at its start with {self.process.returncode}")
+        self.record.crashes.append(f"{self.name} exited at its start with {self.process.returncode}")
 
-    def reload(self, bus: Bus) -> None:
-        """SIGHUP with a configuration that names another bus."""
+    def reload(self, bus: EventBus) -> None:
+        """Send SIGHUP after writing a configuration that names another bus."""
         if self.process is None or self.process.returncode is not None or not self.ready:
             return
         self.bus = bus
         self.reloaded_at = now()
-        self.write()
+        self.write_config()
         self.process.send_signal(signal.SIGHUP)
 
     async def stop(self, kill_after: float = KILL_AFTER) -> Stop:
-        """SIGTERM, and SIGKILL at the earliest moment at which it may come."""
+        """Send SIGTERM, and SIGKILL `kill_after` seconds later: the earliest time at which it may be sent."""
         stop = Stop(self.name, now())
         self.record.stops.append(stop)
         self.ready = False
@@ -105,7 +106,7 @@
             stop.killed = True
             self.process.kill()
             await self.process.wait()
-        stop.ended, stop.status = now(), self.process.returncode
+        stop.ended_at, stop.exit_status = now(), self.process.returncode
         return stop
 
     def close(self) -> None:
@@ -114,31 +115,31 @@
 
 
 class Trial:
-    """The world of one trial; a scenario drives it, `judged` says what broke."""
+    """The processes, peers and records of one trial; a scenario drives it, `broken_rules` checks its record."""
 
     def __init__(self, seed: int, folder: Path) -> None:
         self.seed = seed
         self.random = Random(seed)
         self.folder = folder
         self.record = Record()
-        self.buses: list[Bus] = []
+        self.buses: list[EventBus] = []
         self.switches: list[Switch] = []
         self.nodes: list[Node] = []
         self.callers: list[Caller | BadCaller] = []
         self.tasks: list[asyncio.Task] = []
-        self.habits: list[Habit] = []  # that callers may have
+        self.habits: list[Habit] = []  # that callers may be given
 
-    async def begin(self, replies: list[list[Reply]], delay: float = 0.3, sockets: int = 128, nodes: int = 1) -> None:
-        """One switch a list of replies, numbered from 1; the events of a second bus go on where the first's end."""
+    async def start(self, replies: list[list[Reply]], delay: float = 0.3, sockets: int = 128, nodes: int = 1) -> None:
+        """Start the peers and nodes: one switch, numbered from 1, for each list of replies."""
         for number, choice in enumerate(replies, 1):
             switch = Switch(f"s-{number}", number, Random(self.random.random()), choice, delay)
             await switch.listen()
             self.switches.append(switch)
         bus = await self.new_bus()
         own = {"uid": "s-0", "endpoint": "127.0.0.1:9", "pod_group": 0, "state": "in_service", "boot_ms": 0}
-        bus.tell(own, *(entry(switch) for switch in self.switches), whole=True)
-        self.tasks.append(asyncio.ensure_future(self._watch_stalls()))
-        self.nodes = [Node(f"n{place}", self.folder, bus, {}, self.record, sockets) for place in range(nodes)]
+        bus.publish(own, *(topology_entry(switch) for switch in self.switches), complete=True)
+        self.tasks.append(asyncio.ensure_future(self._record_stalls()))
+        self.nodes = [Node(f"n{index}", self.folder, bus, {}, self.record, sockets) for index in range(nodes)]
         for node in self.nodes:
             await node.start()
 
@@ -146,39 +147,40 @@
     def node(self) -> Node:
         return self.nodes[0]
 
-    async def new_bus(self) -> Bus:
-        bus = Bus()
+    async def new_bus(self) -> EventBus:
+        """Start a bus. All buses share one list of events, so that a second one continues the numbering of the first."""
+        bus = EventBus()
         if self.buses:
             bus.events = self.buses[0].events
         await bus.listen()
         self.buses.append(bus)
         return bus
 
-    async def _watch_stalls(self) -> None:
+    async def _record_stalls(self) -> None:
         last = now()
         while True:
             await asyncio.sleep(0.01)
-            if now() - last > MEASURING:
+            if now() - last > CLOCK_TOLERANCE:
                 self.record.stalls.append((last, now()))
             last = now()
 
     def add_caller(self, fault: CallerFault = CallerFault.NONE, rate: float = 8.0) -> Caller:
-        numbers = [switch.number for switch in self.switches]
+        destinations = [switch.number for switch in self.switches]
         node = self.nodes[len(self.callers) % len(self.nodes)]
-        caller = Caller(node.name, node.port, Random(self.random.random()), self.record.set_ups, fault, numbers)
+        caller = Caller(node.name, node.port, Random(self.random.random()), self.record.set_ups, fault, destinations)
         caller.rate = rate
         caller.habit_random = Random(f"{self.seed} {len(self.callers)}")
         caller.habits = {habit for habit in self.habits if caller.habit_random.random() < 0.4}
-        self.run(caller)
+        self.start_caller(caller)
         return caller
 
-    def run(self, caller: Caller | BadCaller) -> None:
+    def start_caller(self, caller: Caller | BadCaller) -> None:
         self.callers.append(caller)
         self.tasks.append(asyncio.ensure_future(caller.run()))
 
-    def tell(self, *lines: dict) -> None:
-        """An event on every bus. A drain counts as told now, or later where a bus was or is in trouble."""
-        self.buses[0].tell(*lines)
+    def publish(self, *lines: dict) -> None:
+        """Publish an event on every bus, and record when drains were published."""
+        self.buses[0].publish(*lines)
         for bus in self.buses[1:]:
             changed, bus.changed = bus.changed, asyncio.Event()
             changed.set()
@@ -188,8 +190,8 @@
             else:
                 self.record.drains.setdefault(line["uid"], now())
 
-    async def end(self, settle: float = 4.0) -> None:
-        """No more set-ups; wait for what is owed, then stop everything."""
+    async def finish(self, settle: float = 4.0) -> None:
+        """Send no more set-ups, wait `settle` seconds for outstanding messages, then stop everything."""
         for caller in self.callers:
             caller.stopping = True
         await asyncio.sleep(settle)
@@ -202,8 +204,8 @@
             task.cancel()
         for peer in (*self.switches, *self.buses):
             peer.close()
-        self.record.legs = sorted((leg for switch in self.switches for leg in switch.legs), key=lambda leg: leg.began)
-        self.record.caller_closes = [at for caller in self.callers for at in getattr(caller, "closed_at", [])]
+        self.record.legs = sorted((leg for switch in self.switches for leg in switch.legs), key=lambda leg: leg.invite_received_at)
+        self.record.caller_closes = [at for caller in self.callers for at in getattr(caller, "close_times", [])]
         self.record.calls = [call for switch in self.switches for call in switch.calls]
         await asyncio.sleep(0.05)
 
@@ -220,37 +222,47 @@
 
 
 class SwitchFault(Enum):
-    SILENT = "hangs: neither reads nor answers"
+    SILENT = "hangs: neither reads nor writes"
     VANISHES = "is cut off"
-    LATE_CONNECTIONS = "new connections come up late"
-    CLOSES_ONE = "closes a connection early"
+    LATE_CONNECTIONS = "new connections are established late"
+    CLOSES_ONE = "closes a connection"
     RESETS_ALL = "resets its connections"
 
 
-MIXED = [Reply.ANSWER] * 8 + [Reply.LATE, Reply.FULL, Reply.FAULT, Reply.PIECES, Reply.TWICE, Reply.RESET, Reply.CLOSE]
-SPOILT = [Reply.ANSWER] * 6 + [Reply.SPOILT, Reply.NOISE, Reply.RESET, Reply.HANG]
-HANGING = [Reply.HANG] * 3 + [Reply.LATE, Reply.ANSWER]
+MIXED_REPLIES = [Reply.ANSWER] * 8 + [
+    Reply.LATE,
+    Reply.FULL,
+    Reply.FAULT,
+    Reply.FRAGMENTS,
+    Reply.DUPLICATE,
+    Reply.RESET,
+    Reply.CLOSE,
+]
+INVALID_REPLIES = [Reply.ANSWER] * 6 + [Reply.TRUNCATED, Reply.GARBAGE, Reply.RESET, Reply.HANG]
+HANGING_REPLIES = [Reply.HANG] * 3 + [Reply.LATE, Reply.ANSWER]
 
 
 class DenseTrial(Trial):
-    """Stops in series, faults of the bus, drains, reloads and bad callers, all drawn from the seed."""
+    """Shutdowns in series, bus faults, drains, reloads, switch faults and bad callers, all drawn from the seed."""
 
-    SECONDS = 9.0
+    SECONDS = 9.0  # before the callers stop
 
     async def play(self) -> list[str]:
-        draw = self.random
+        random = self.random
         self.habits = list(Habit)
-        choices = [draw.choice([MIXED, SPOILT, HANGING, [Reply.ANSWER]]) for _ in range(draw.randint(4, 6))]
-        await self.begin(
-            choices, delay=draw.choice([0.3, 1.0, 3.5]), sockets=draw.choice([64, 128, 256]), nodes=draw.choice([1, 1, 2, 3])
+        choices = [
+            random.choice([MIXED_REPLIES, INVALID_REPLIES, HANGING_REPLIES, [Reply.ANSWER]]) for _ in range(random.randint(4, 6))
+        ]
+        await self.start(
+            choices, delay=random.choice([0.3, 1.0, 3.5]), sockets=random.choice([64, 128, 256]), nodes=random.choice([1, 1, 2, 3])
         )
-        began = now()
-        for _ in range(draw.randint(max(2, len(self.nodes)), 6)):
-            self.add_caller(draw.choice(list(CallerFault)), rate=draw.choice([4.0, 8.0, 16.0]))
-        if draw.random() < 0.5:
-            self.run(BadCaller(self.node.port, Random(draw.random())))
-        if draw.random() < 0.3:
-            self.tasks.append(asyncio.ensure_future(self._crowd(self.node)))
+        started_at = now()
+        for _ in range(random.randint(max(2, len(self.nodes)), 6)):
+            self.add_caller(random.choice(list(CallerFault)), rate=random.choice([4.0, 8.0, 16.0]))
+        if random.random() < 0.5:
+            self.start_caller(BadCaller(self.node.port, Random(random.random())))
+        if random.random() < 0.3:
+            self.tasks.append(asyncio.ensure_future(self._open_idle_connections(self.node)))
         if Random(f"{self.seed} pauses").random() < 0.4:
             self.tasks += [asyncio.ensure_future(self._pauses(node)) for node in self.nodes]
         stops = [self._stops(node) for node in self.nodes]
@@ -260,31 +272,33 @@
         await asyncio.sleep(self.SECONDS)
         await cancel(tasks)
         await asyncio.gather(*stopping)
-        await self.end()
-        broken = broken_rules(self.record, self.told, now())
+        await self.finish()
+        broken = broken_rules(self.record, self.drain_known_at, now())
         if broken and "TRIAL_TRACE" in os.environ:
-            trace(self.record, broken, Path(os.environ["TRIAL_TRACE"]) / f"trial-{self.seed}-{os.getpid()}-{int(began)}.txt")
+            write_trace(
+                self.record, broken, Path(os.environ["TRIAL_TRACE"]) / f"trial-{self.seed}-{os.getpid()}-{int(started_at)}.txt"
+            )
         return broken
 
     @property
-    def told(self) -> dict[str, float]:
-        """When each drain counts as told: with any trouble of a bus, reload or start near it, six seconds after that."""
-        troubles = sorted(self.troubles)
-        told = {}
+    def drain_known_at(self) -> dict[str, float]:
+        """When the processes must know of each drain: at once, or six seconds after any bus fault, reload or start near it."""
+        fault_periods = sorted(self.fault_periods)
+        drain_known_at = {}
         for uid, at in self.record.drains.items():
-            latest = at
-            for start, end in troubles:
-                if start - 0.5 <= latest + TOLD_AFTER_TROUBLE and end + TOLD_AFTER_TROUBLE > latest - 0.5:
-                    latest = max(latest, max(end, at) + TOLD_AFTER_TROUBLE)
-            told[uid] = latest
-        return told
+            known_at = at
+            for start, end in fault_periods:
+                if start - 0.5 <= known_at + DRAIN_LIMIT_AFTER_FAULT and end + DRAIN_LIMIT_AFTER_FAULT > known_at - 0.5:
+                    known_at = max(known_at, max(end, at) + DRAIN_LIMIT_AFTER_FAULT)
+            drain_known_at[uid] = known_at
+        return drain_known_at
 
     def __init__(self, seed: int, folder: Path) -> None:
         super().__init__(seed, folder)
-        self.troubles: list[tuple[float, float]] = []
+        self.fault_periods: list[tuple[float, float]] = []
 
     async def _stops(self, node: Node) -> None:
-        """Up to three ends in a row, each followed by a start at once; some begin just after a SIGHUP."""
+        """Up to three shutdowns in a row, each followed by a start soon after; some shortly after a SIGHUP."""
         for _ in range(self.random.randint(1, 3)):
             await asyncio.sleep(self.random.uniform(0.5, 1.5))
             if self.random.random() < 0.4:
@@ -294,7 +308,7 @@
             start = now()
             await asyncio.sleep(self.random.uniform(0, 0.3))
             await node.start()
-            self.troubles.append((start, now()))
+            self.fault_periods.append((start, now()))
 
     async def _bus_faults(self) -> None:
         while True:
@@ -309,11 +323,11 @@
             else:
                 fault = self.random.choice([fault for fault in BusFault if fault is not BusFault.NONE])
                 bus.set_fault(fault, self.random.uniform(0.5, 3.5))
-                self.troubles.append((start, now() + 1000))
+                self.fault_periods.append((start, now() + 1000))
                 await asyncio.sleep(self.random.uniform(0.5, 3.0))
                 bus.set_fault(BusFault.NONE)
-                self.troubles.pop()
-            self.troubles.append((start, now()))
+                self.fault_periods.pop()
+            self.fault_periods.append((start, now()))
 
     async def _drains(self) -> None:
         serial = 100
@@ -322,34 +336,37 @@
             switch = self.random.choice(self.switches)
             if switch.uid in self.record.drains:
                 continue
-            self.tell(entry(switch, "terminating"))
+            self.publish(topology_entry(switch, "terminating"))
             if self.random.random() < 0.5:
                 serial += 1
                 new = Switch(f"s-{serial}", switch.number, Random(self.random.random()), switch.replies, switch.delay)
                 await new.listen()
                 self.switches.append(new)
-                self.tell(entry(new))
+                self.publish(topology_entry(new))
                 await asyncio.sleep(self.random.uniform(0.0, 1.0))
-                self.tell(entry(switch, "terminated"))
+                self.publish(topology_entry(switch, "terminated"))
                 switch.die()
 
     async def _reloads(self) -> None:
-        """New configurations, some in quick succession; the old bus closes after 1.5 s."""
+        """Reload new configurations, some in quick succession; the old bus closes after 1.5 s."""
         while True:
             await asyncio.sleep(self.random.uniform(1.0, 4.0))
             for _ in range(self.random.randint(1, 3)):
                 old, new = self.buses[-1], await self.new_bus()
                 for node in self.nodes:
                     node.reload(new)
-                self.troubles.append(
-                    (now() - TOLD_AFTER_TROUBLE + TOLD_AFTER_RELOAD, now() - TOLD_AFTER_TROUBLE + TOLD_AFTER_RELOAD)
+                self.fault_periods.append(
+                    (
+                        now() - DRAIN_LIMIT_AFTER_FAULT + DRAIN_LIMIT_AFTER_RELOAD,
+                        now() - DRAIN_LIMIT_AFTER_FAULT + DRAIN_LIMIT_AFTER_RELOAD,
+                    )
                 )
                 old.stop_listening()
                 asyncio.get_running_loop().call_later(1.5, old.reset_all)
                 await asyncio.sleep(self.random.choice([0.0, 0.02, 0.3]))
 
     async def _switch_faults(self) -> None:
-        """Switches that fall silent for a while, vanish, lose their connections, or let new ones come up late."""
+        """Switches that hang for a while, are cut off, lose their connections, or establish new ones late."""
         while True:
             await asyncio.sleep(self.random.uniform(0.3, 1.5))
             switch = self.random.choice(self.switches)
@@ -368,48 +385,48 @@
                     switch.reset_all()
 
     async def _pauses(self, node: Node) -> None:
-        """The process stands still now and then, shorter than any bound, and has everything to read at once."""
-        draw = Random(f"{self.seed} {node.name}")
+        """Suspend the process now and then, for less than any time limit, so that it has much to read when it resumes."""
+        random = Random(f"{self.seed} {node.name}")
         while True:
-            await asyncio.sleep(draw.uniform(0.2, 1.0))
+            await asyncio.sleep(random.uniform(0.2, 1.0))
             if node.ready and node.process.returncode is None:
-                began = now()
+                started_at = now()
                 node.process.send_signal(signal.SIGSTOP)
                 try:
-                    await asyncio.sleep(draw.uniform(0.02, 0.15))
+                    await asyncio.sleep(random.uniform(0.02, 0.15))
                 finally:
                     with contextlib.suppress(ProcessLookupError):
                         node.process.send_signal(signal.SIGCONT)
-                    self.record.pauses.setdefault(node.name, []).append((began, now()))
+                    self.record.pauses.setdefault(node.name, []).append((started_at, now()))
 
-    async def _crowd(self, node: Node) -> None:
-        """Connections that say nothing, more than the process may hold."""
-        held = []
+    async def _open_idle_connections(self, node: Node) -> None:
+        """Open more idle connections than the process may hold."""
+        connections = []
         while True:
             with contextlib.suppress(OSError):
-                held.append(await asyncio.open_connection(own_address(), node.port))
-                if len(held) > 200:
-                    held.pop(0)[1].close()
+                connections.append(await asyncio.open_connection(own_address(), node.port))
+                if len(connections) > 200:
+                    connections.pop(0)[1].close()
             await asyncio.sleep(0.01)
 
 
-def play(seed: int, kind: type[DenseTrial] = DenseTrial, keep: Path | None = None) -> list[str]:
-    """Play one seed; what broke."""
+def play(seed: int, trial_class: type[DenseTrial] = DenseTrial, trace_folder: Path | None = None) -> list[str]:
+    """Play one seed. Returns the broken rules."""
     with tempfile.TemporaryDirectory() as folder:
-        return asyncio.run(kind(seed, keep or Path(folder)).play())
+        return asyncio.run(trial_class(seed, trace_folder or Path(folder)).play())
 
 
 def main() -> None:
     from concurrent.futures import ProcessPoolExecutor
 
     first, last = int(sys.argv[1]), int(sys.argv[2])
-    side_by_side = int(sys.argv[3]) if len(sys.argv) > 3 else 2
+    workers = int(sys.argv[3]) if len(sys.argv) > 3 else 2
     failed = 0
-    with ProcessPoolExecutor(side_by_side) as pool:
+    with ProcessPoolExecutor(workers) as pool:
         for seed, broken in zip(range(first, last + 1), pool.map(play, range(first, last + 1)), strict=True):
             failed += bool(broken)
-            more = f" (+{len(broken) - MOST_SHOWN})" if len(broken) > MOST_SHOWN else ""
-            print(f"seed {seed}: {'; '.join(broken[:MOST_SHOWN]) or 'kept'}{more}", flush=True)
+            more = f" (+{len(broken) - MAX_SHOWN_RULES})" if len(broken) > MAX_SHOWN_RULES else ""
+            print(f"seed {seed}: {'; '.join(broken[:MAX_SHOWN_RULES]) or 'passed'}{more}", flush=True)
     print(f"{last - first + 1 - failed} passed, {failed} failed")
 
 
--- a/tests/trial_peers.py
+++ b/tests/trial_peers.py
@@ -1,6 +1,6 @@
-"""Peers of a service process in one event loop on loopback, each with faults by script: event bus, switches, callers.
+"""Scripted, faulty peers of a service process on loopback: event bus, switches and callers, in one event loop.
 
-Times are seconds of the loop's clock. What passed is kept as typed records, which `trial_rules` judges afterwards.
+Times are seconds of the event loop's clock. The peers record what they observe; `trial_rules` checks the records afterwards.
 """
 
 import asyncio
@@ -21,23 +21,23 @@
 NORMAL_RELEASE, TEMPORARY_FAILURE = 16, 41  # causes of Q.850
 FREE_CIRCUITS = 40
 SDP_TAIL = "c=IN IP4 10.0.0.1\r\nm=audio 1 RTP/AVP 0\r\n"
-SILENCE_LASTS = 0.1  # seconds after a silence in which a switch still reads what came during it
-QUEUE_OF_NONE = 1  # connections that a listener with a backlog of 0 still takes
-MOST_EAGER = 4  # times that an eager caller tries again at once
-CROSSING = 0.05  # seconds in which a set-up may cross the close of its connection and be sent again
+LATE_READ_TIME = 0.1  # seconds after a silent period in which a switch still reads what was received during it
+ZERO_BACKLOG_CAPACITY = 1  # connections that a listener with a backlog of 0 still queues
+MAX_IMMEDIATE_RETRIES = 4  # of an eager caller, per set-up
+CROSSING_TIME = 0.05  # seconds before the close of its connection in which a set-up counts as crossing the close, and is sent again
 
 
 _ports = itertools.count(20_000)
 
 
 def own_address() -> str:
-    """A loopback address of this process alone: connections that others open take their ports at 127.0.0.1."""
+    """A loopback address used by this process only: outgoing connections of others take their ports at 127.0.0.1."""
     pid = os.getpid()
     return f"127.{1 + (pid >> 16) % 254}.{pid >> 8 & 255}.{pid & 255}"
 
 
 def free_port() -> int:
-    """A port at `own_address` that nothing else takes, also while its listener is away."""
+    """A port at `own_address` that nothing else uses, even while its listener is closed."""
     return next(_ports)
 
 
@@ -54,50 +54,50 @@
 
 
 class Peer:
-    """A listener on a port of its own; `serve` handles each connection and may fail with it."""
+    """A listener on a port of its own; `serve` handles each connection and may raise when the connection fails."""
 
     def __init__(self) -> None:
         self.port = free_port()
         self.server: asyncio.Server | None = None
         self.writers: set[asyncio.StreamWriter] = set()
         self.tasks: set[asyncio.Task] = set()
-        self.barred: socket.socket | None = None  # the listener while no connection comes up
-        self.fillers: list[socket.socket] = []  # connections that keep its queue full
+        self.blocked_listener: socket.socket | None = None  # the listener while connections are blocked
+        self.backlog_fillers: list[socket.socket] = []  # connections that fill its backlog
 
     async def listen(self) -> None:
-        self.server = await asyncio.start_server(self._accepted, own_address(), self.port, limit=1 << 20)
+        self.server = await asyncio.start_server(self._connection_accepted, own_address(), self.port, limit=1 << 20)
 
-    def bar(self) -> None:
-        """New connections neither come up nor are refused: nobody accepts, and the listener's queue is full."""
-        if self.server is None or self.barred is not None:
+    def block_connections(self) -> None:
+        """Neither accept nor refuse new connections: nothing is accepted, and the listener's backlog is full."""
+        if self.server is None or self.blocked_listener is not None:
             return
-        self.barred = socket.socket(fileno=os.dup(self.server.sockets[0].fileno()))
+        self.blocked_listener = socket.socket(fileno=os.dup(self.server.sockets[0].fileno()))
         self.stop_listening()
-        self.barred.listen(0)
-        for _ in range(QUEUE_OF_NONE + 1):
+        self.blocked_listener.listen(0)
+        for _ in range(ZERO_BACKLOG_CAPACITY + 1):
             filler = socket.socket()
             filler.setblocking(False)
             filler.connect_ex((own_address(), self.port))
-            self.fillers.append(filler)
+            self.backlog_fillers.append(filler)
 
-    async def unbar(self) -> None:
-        """Connections that waited come up when their peers ask again, a second or so after they began."""
-        if self.barred is None:
+    async def unblock_connections(self) -> None:
+        """Accept again. Connections that waited are established when their peers repeat the SYN, after about a second."""
+        if self.blocked_listener is None:
             return
-        listener, self.barred = self.barred, None
+        listener, self.blocked_listener = self.blocked_listener, None
         listener.setblocking(False)
-        self.server = await asyncio.start_server(self._accepted, sock=listener, limit=1 << 20)
+        self.server = await asyncio.start_server(self._connection_accepted, sock=listener, limit=1 << 20)
         await asyncio.sleep(0.01)
-        for filler in self.fillers:
+        for filler in self.backlog_fillers:
             filler.close()
-        self.fillers.clear()
+        self.backlog_fillers.clear()
 
     @property
     def address(self) -> str:
         return f"{own_address()}:{self.port}"
 
-    async def _accepted(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if writer.get_extra_info("peername") in [filler.getsockname() for filler in self.fillers]:
+    async def _connection_accepted(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        if writer.get_extra_info("peername") in [filler.getsockname() for filler in self.backlog_fillers]:
             writer.close()
             return
         self.writers.add(writer)
@@ -116,13 +116,13 @@
             self.server.close()
             self.server = None
 
-    def close_queue(self) -> None:
-        """End a listener that is barred: from now on connections are refused."""
-        for sock in (self.barred, *self.fillers):
+    def close_blocked_listener(self) -> None:
+        """Close a blocked listener: from now on connections are refused."""
+        for sock in (self.blocked_listener, *self.backlog_fillers):
             if sock is not None:
                 sock.close()
-        self.barred = None
-        self.fillers.clear()
+        self.blocked_listener = None
+        self.backlog_fillers.clear()
 
     def reset_all(self) -> None:
         for writer in list(self.writers):
@@ -130,7 +130,7 @@
 
     def close(self) -> None:
         self.stop_listening()
-        self.close_queue()
+        self.close_blocked_listener()
         self.reset_all()
         for task in list(self.tasks):
             task.cancel()
@@ -141,29 +141,30 @@
 
 class BusFault(Enum):
     NONE = "none"
-    SLOW = "whole answers, late"
-    DRIP = "whole answers, byte by byte over the delay"
-    SILENT = "accepts and says nothing"
-    BREAKS = "breaks off in the middle of an answer"
-    GARBLED = "answers that are no HTTP or no JSON"
+    SLOW = "complete responses, late"
+    DRIP = "complete responses in pieces, spread over the delay"
+    SILENT = "accepts and does not respond"
+    BREAKS = "closes in the middle of a response"
+    GARBLED = "responses that are not valid HTTP or JSON"
 
 
-class Bus(Peer):
-    """Long polls of numbered events. `delay` belongs to SLOW and DRIP."""
+class EventBus(Peer):
+    """An event bus that serves numbered events by long polling. `delay` applies to the faults SLOW and DRIP."""
 
     def __init__(self) -> None:
         super().__init__()
         self.events: list[dict] = []
         self.changed = asyncio.Event()
         self.fault, self.delay = BusFault.NONE, 0.0
-        self.asked: list[tuple[float, int]] = []  # when, and after which number
+        self.requests: list[tuple[float, int]] = []  # (when, after which event number)
 
     def set_fault(self, fault: BusFault, delay: float = 0.0) -> None:
         self.fault, self.delay = fault, delay
 
-    def tell(self, *lines: dict, whole: bool = False) -> int:
+    def publish(self, *lines: dict, complete: bool = False) -> int:
+        """Add an event; `complete`: it lists all switches. Returns its number."""
         offset = len(self.events) + 1
-        self.events.append({"offset": offset, "topology": {"rev": offset, "all": whole, "targets": list(lines)}})
+        self.events.append({"offset": offset, "topology": {"rev": offset, "all": complete, "targets": list(lines)}})
         changed, self.changed = self.changed, asyncio.Event()
         changed.set()
         return offset
@@ -172,13 +173,13 @@
         while line := await reader.readline():
             while (await reader.readline()).strip():
                 pass
-            after, hold = (int(part.split("=")[1]) for part in line.decode().split()[1].split("?")[1].split("&"))
-            self.asked.append((now(), after))
-            if len(self.events) <= after:
+            last_seen, hold = (int(part.split("=")[1]) for part in line.decode().split()[1].split("?")[1].split("&"))
+            self.requests.append((now(), last_seen))
+            if len(self.events) <= last_seen:
                 with contextlib.suppress(TimeoutError):
                     await asyncio.wait_for(self.changed.wait(), hold / 1000)
-            batch = self.events[after:]
-            body = json.dumps({"offset": after + len(batch), "batch": batch}).encode()
+            batch = self.events[last_seen:]
+            body = json.dumps({"offset": last_seen + len(batch), "batch": batch}).encode()
             await self._answer(writer, b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
     async def _answer(self, writer: asyncio.StreamWriter, data: bytes) -> None:
@@ -188,11 +189,11 @@
             case BusFault.SLOW:
                 await asyncio.sleep(self.delay)
             case BusFault.DRIP:
-                pieces = 20
-                step = len(data) // pieces + 1
-                for start in range(0, len(data), step):
-                    await asyncio.sleep(self.delay / pieces)
-                    writer.write(data[start : start + step])
+                piece_count = 20
+                piece_size = len(data) // piece_count + 1
+                for start in range(0, len(data), piece_size):
+                    await asyncio.sleep(self.delay / piece_count)
+                    writer.write(data[start : start + piece_size])
                 return
             case BusFault.BREAKS:
                 writer.write(data[: len(data) // 2])
@@ -212,117 +213,120 @@
 class Reply(Enum):
     ANSWER = "200 at once"
     LATE = "200 after the delay"
-    HANG = "nothing"
+    HANG = "no response"
     FULL = "503"
     FAULT = "500"
-    PIECES = "200 in pieces over the delay"
-    SPOILT = "200 with a description that is cut"
-    TWICE = "200 twice"
-    RESET = "a reset under the set-up"
-    CLOSE = "200 and a close at once"
-    NOISE = "bytes that are no SIP"
+    FRAGMENTS = "200 in pieces over the delay"
+    TRUNCATED = "200 with a truncated body"
+    DUPLICATE = "200 twice"
+    RESET = "a reset instead of a response"
+    CLOSE = "200, then a close at once"
+    GARBAGE = "bytes that are not SIP"
 
 
 @dataclass
 class Leg:
-    """An INVITE at a switch: when its first byte and all of it came, when and how it was over."""
+    """An INVITE received by a switch, and when and why the leg ended."""
 
     id: str
     uid: str
-    began: float
-    ended: float = 0.0
-    how: str = ""
-    read_late: bool = False  # its switch was silent, so when it came or was over is not known
+    invite_received_at: float
+    ended_at: float = 0.0
+    end_reason: str = ""
+    read_late: bool = False  # its switch was silent, so the times are not exact
 
 
 @dataclass
-class Standing:
-    """A call that stands at a switch; `released` is when the switch sent its BYE, 0 while it stands."""
+class EstablishedCall:
+    """A call that was established at a switch."""
 
     id: str
     uid: str
-    since: float
-    released: float = 0.0
-    heard_bye: float = 0.0
-    cut: bool = False  # with its machine, which sends no release
-    sent_on: list[tuple[float, int]] = field(default_factory=list)  # when its BYE was written, to which port of a node
-    delayed: bool = False  # no connection was open when it was over, so that its release went on the next one
-    began: float = 0.0  # when the INVITE of its leg came
+    established_at: float
+    released_at: float = 0.0  # when the switch sent its BYE, 0 if it has not
+    bye_received_at: float = 0.0
+    cut: bool = False  # ended with its machine, which sends no BYE
+    release_writes: list[tuple[float, int]] = field(default_factory=list)  # (when its BYE was written, to which port of a node)
+    release_delayed: bool = False  # no connection was open when it ended, so its BYE was sent on the next one
+    invite_received_at: float = 0.0  # when the INVITE of its leg was received
 
 
-def sip(first: str, id: str, method: str, extra: str = "", body: str = "") -> bytes:
+def format_message(start_line: str, id: str, method: str, headers: str = "", body: str = "") -> bytes:
     return (
-        f"{first}\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: {id}\r\nCSeq: 1 {method}\r\n{extra}Content-Length: {len(body)}\r\n\r\n{body}"
+        f"{start_line}\r\nVia: SIP/2.0/TCP peer\r\nCall-ID: {id}\r\nCSeq: 1 {method}\r\n{headers}"
+        f"Content-Length: {len(body)}\r\n\r\n{body}"
     ).encode()
 
 
 class Switch(Peer):
-    """Draws a reply for each set-up from `replies`; answered calls stand for `hold` seconds, then it sends BYE."""
+    """A switch that draws its reply to each set-up from `replies`, and sends a BYE up to `hold` seconds after an answer."""
 
     def __init__(self, uid: str, number: int, random: Random, replies: list[Reply], delay: float = 0.3) -> None:
         super().__init__()
         self.uid, self.number, self.random, self.replies, self.delay = uid, number, random, replies, delay
         self.hold = 1.0
-        self.silent_until = -1e9  # what is read soon after may have come long before
-        self.silent = False  # reads nothing and says nothing, as a machine that hangs
-        self.cut_off = False  # nothing of what it says comes through either
+        self.silent_until = -1e9  # what is read soon after may have been received long before
+        self.silent = False  # reads and writes nothing, as a machine that hangs
+        self.cut_off = False  # nothing that it writes is delivered either
         self.open_legs: dict[tuple[str, asyncio.StreamWriter], Leg] = {}
         self.legs: list[Leg] = []
-        self.standing: dict[str, list[Standing]] = {}  # by id: several where legs of one call stand here, known by their id alone
-        self.calls: list[Standing] = []
-        self.unsent: list[tuple[Standing, bytes]] = []  # releases, sent also on the next connection that is opened
+        self.established_calls: dict[
+            str, list[EstablishedCall]
+        ] = {}  # by id, which is all that a BYE names; several legs of a call may be here
+        self.calls: list[EstablishedCall] = []
+        self.unsent_releases: list[tuple[EstablishedCall, bytes]] = []  # repeated on the next connection that is opened
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         state = f"Link-State: idle:{FREE_CIRCUITS};circuits:{FREE_CIRCUITS}\r\n"
-        writer.write(sip("NOTIFY sip:x@net SIP/2.0", "0" * 16, "NOTIFY", state))
-        for call, data in self.unsent:
+        writer.write(format_message("NOTIFY sip:x@net SIP/2.0", "0" * 16, "NOTIFY", state))
+        for call, data in self.unsent_releases:
             self._write_release(call, data, writer)
-        self.unsent.clear()
+        self.unsent_releases.clear()
         framer = Framer()
         try:
             while data := await reader.read(65_536):
-                late = self.silent or now() - self.silent_until < SILENCE_LASTS
+                is_late = self.silent or now() - self.silent_until < LATE_READ_TIME
                 while self.silent:
                     await asyncio.sleep(0.05)
                     self.silent_until = now()
                 for key, leg in self.open_legs.items():
-                    leg.read_late = leg.read_late or late and key[1] is writer
+                    leg.read_late = leg.read_late or is_late and key[1] is writer
                 for message in framer.feed(data):
                     if not isinstance(message, BadMessageError):
-                        self._came(message, writer, late)
+                        self._message_received(message, writer, is_late)
         finally:
             for key in [key for key in self.open_legs if key[1] is writer]:
-                self._over(key, "its connection ended")
+                self._end_leg(key, "its connection ended")
 
-    def _came(self, message: Message, writer: asyncio.StreamWriter, late: bool) -> None:
+    def _message_received(self, message: Message, writer: asyncio.StreamWriter, is_late: bool) -> None:
         id, method = message.call_id, message.method
-        if late and (id, writer) in self.open_legs:
+        if is_late and (id, writer) in self.open_legs:
             self.open_legs[id, writer].read_late = True
         if method == "INVITE":
-            leg = Leg(id, self.uid, now(), read_late=late)
+            leg = Leg(id, self.uid, now(), read_late=is_late)
             self.legs.append(leg)
             self.open_legs[id, writer] = leg
             task = asyncio.ensure_future(self._reply(id, writer, self.random.choice(self.replies)))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
         elif method == "CANCEL":
-            self._over((id, writer), "cancelled")
+            self._end_leg((id, writer), "cancelled")
         elif method == "BYE":
-            writer.write(sip("SIP/2.0 200 OK", id, "BYE"))
-            for call in self.standing.pop(id, []):
-                call.heard_bye = now()
+            writer.write(format_message("SIP/2.0 200 OK", id, "BYE"))
+            for call in self.established_calls.pop(id, []):
+                call.bye_received_at = now()
 
-    def _over(self, key: tuple[str, asyncio.StreamWriter], how: str) -> bool:
+    def _end_leg(self, key: tuple[str, asyncio.StreamWriter], end_reason: str) -> bool:
         leg = self.open_legs.pop(key, None)
         if leg is None:
             return False
-        leg.ended, leg.how = now(), how
+        leg.ended_at, leg.end_reason = now(), end_reason
         leg.read_late = leg.read_late or self.silent
         return True
 
     async def _reply(self, id: str, writer: asyncio.StreamWriter, reply: Reply) -> None:
         body = f"{self.uid} of {id}\r\n{SDP_TAIL}"
-        answer = sip("SIP/2.0 200 OK", id, "INVITE", body=body)
+        answer = format_message("SIP/2.0 200 OK", id, "INVITE", body=body)
         key = id, writer
         await asyncio.sleep(self.random.uniform(0.002, 0.03) if reply is not Reply.LATE else self.random.uniform(0.1, self.delay))
         while self.silent:
@@ -333,34 +337,34 @@
             case Reply.HANG:
                 return
             case Reply.FULL | Reply.FAULT:
-                first = "SIP/2.0 503 Full" if reply is Reply.FULL else "SIP/2.0 500 Fault"
-                self._over(key, "refused")
-                writer.write(sip(first, id, "INVITE", "Fail-Word: queue_long\r\n" if reply is Reply.FULL else ""))
+                start_line = "SIP/2.0 503 Full" if reply is Reply.FULL else "SIP/2.0 500 Fault"
+                self._end_leg(key, "refused")
+                writer.write(format_message(start_line, id, "INVITE", "Fail-Word: queue_long\r\n" if reply is Reply.FULL else ""))
                 return
             case Reply.RESET:
                 reset(writer)
                 return
-            case Reply.NOISE:
-                self._over(key, "spoilt")
+            case Reply.GARBAGE:
+                self._end_leg(key, "invalid reply")
                 writer.write(b"\x00\xff\x13 no message\r\n\r\n")
                 return
-            case Reply.SPOILT:
-                self._over(key, "spoilt")
+            case Reply.TRUNCATED:
+                self._end_leg(key, "invalid reply")
                 writer.write(answer[:-9])
                 return
-            case Reply.PIECES:
+            case Reply.FRAGMENTS:
                 for start in range(0, len(answer), 40):
                     writer.write(answer[start : start + 40])
                     await asyncio.sleep(self.random.uniform(0, 0.04))
                     if key not in self.open_legs:
                         return
-            case Reply.TWICE:
+            case Reply.DUPLICATE:
                 writer.write(answer + answer)
             case _:
                 writer.write(answer)
-        call = Standing(id, self.uid, now(), began=self.open_legs[key].began)
-        self._over(key, "answered")
-        self.standing.setdefault(id, []).append(call)
+        call = EstablishedCall(id, self.uid, now(), invite_received_at=self.open_legs[key].invite_received_at)
+        self._end_leg(key, "answered")
+        self.established_calls.setdefault(id, []).append(call)
         self.calls.append(call)
         if reply is Reply.CLOSE:
             writer.close()
@@ -370,56 +374,56 @@
         self._release(call, writer)
 
     async def vanish(self, seconds: float) -> None:
-        """Cut off for a while: open connections fall silent both ways, and new ones don't come up."""
+        """Be cut off for a while: open connections are silent in both directions, and new ones are not established."""
         self.silent = self.cut_off = True
-        self.bar()
+        self.block_connections()
         try:
             await asyncio.sleep(seconds)
         finally:
-            await self.unbar()
+            await self.unblock_connections()
             self.silent = self.cut_off = False
 
     async def delay_connections(self, seconds: float) -> None:
-        """Open connections work; new ones come up late."""
-        self.bar()
+        """Block new connections for a while; open ones work."""
+        self.block_connections()
         try:
             await asyncio.sleep(seconds)
         finally:
-            await self.unbar()
+            await self.unblock_connections()
 
     def close_one(self) -> None:
-        """Close a connection as soon as what is written has gone, whatever is open on it."""
+        """Close a random connection once what is written has been sent, even if set-ups are open on it."""
         if self.writers:
             self.random.choice(sorted(self.writers, key=lambda writer: writer.get_extra_info("peername") or ())).close()
 
     def die(self) -> None:
-        """The process ends: it resets its connections and cuts its calls."""
+        """End as a process that dies: connections are reset and calls cut."""
         self.stop_listening()
-        self.close_queue()
-        for call in [*itertools.chain.from_iterable(self.standing.values()), *(call for call, _ in self.unsent)]:
-            call.released, call.cut = now(), True
-        self.standing.clear()
-        self.unsent.clear()
+        self.close_blocked_listener()
+        for call in [*itertools.chain.from_iterable(self.established_calls.values()), *(call for call, _ in self.unsent_releases)]:
+            call.released_at, call.cut = now(), True
+        self.established_calls.clear()
+        self.unsent_releases.clear()
         self.reset_all()
 
-    def _release(self, call: Standing, writer: asyncio.StreamWriter) -> None:
-        held = self.standing.get(call.id, [])
-        if call not in held:
+    def _release(self, call: EstablishedCall, writer: asyncio.StreamWriter) -> None:
+        open_calls = self.established_calls.get(call.id, [])
+        if call not in open_calls:
             return
-        held.remove(call)
-        call.released = now()
-        data = sip("BYE sip:x@net SIP/2.0", call.id, "BYE", f"Reason: Q.850;cause={NORMAL_RELEASE}\r\n")
-        self.unsent.append((call, data))
-        open_now = [other for other in (writer, *self.writers) if other in self.writers and not other.is_closing()]
-        carrier = open_now[0] if open_now else None
-        call.delayed = carrier is None
-        if carrier is not None:
-            self._write_release(call, data, carrier)
+        open_calls.remove(call)
+        call.released_at = now()
+        data = format_message("BYE sip:x@net SIP/2.0", call.id, "BYE", f"Reason: Q.850;cause={NORMAL_RELEASE}\r\n")
+        self.unsent_releases.append((call, data))
+        open_connections = [other for other in (writer, *self.writers) if other in self.writers and not other.is_closing()]
+        connection = open_connections[0] if open_connections else None
+        call.release_delayed = connection is None
+        if connection is not None:
+            self._write_release(call, data, connection)
 
     @staticmethod
-    def _write_release(call: Standing, data: bytes, writer: asyncio.StreamWriter) -> None:
+    def _write_release(call: EstablishedCall, data: bytes, writer: asyncio.StreamWriter) -> None:
         peer = writer.get_extra_info("peername")
-        call.sent_on.append((now(), peer[1] if peer else 0))
+        call.release_writes.append((now(), peer[1] if peer else 0))
         writer.write(data)
 
 
@@ -428,82 +432,82 @@
 
 @dataclass
 class SetUp:
-    """One set-up of a caller. `sent`: its last byte; `finals`: when and what came back; `lost`: why it counts as such."""
+    """One set-up of a caller. Times are 0 if the event has not occurred."""
 
     id: str
     node: str
-    left: float
-    sent: float = 0.0
-    finals: list[tuple[float, str, str]] = field(default_factory=list)  # (when, type, description)
-    given_up: float = 0.0
-    releases: list[tuple[float, str]] = field(default_factory=list)  # after the answer: when its end was told, and by which node
-    ended_by_caller: float = 0.0
-    connection_ended: float = 0.0
-    crossed: bool = False  # it crossed the close of its connection
-    sent_again: bool = False
-    taken_back: bool = False  # its release came with it
-    repeated_at: float = 0.0  # when its line came again
-    tries: int = 0  # refusals that came before, of a caller that tries again at once
+    time_left: float  # seconds in which the caller wants an answer
+    sent_at: float = 0.0  # when its last byte was written
+    final_answers: list[tuple[float, str, str]] = field(default_factory=list)  # (when, type, description)
+    given_up_at: float = 0.0
+    releases: list[tuple[float, str]] = field(default_factory=list)  # releases after the answer: (when, by which node)
+    ended_by_caller_at: float = 0.0
+    connection_ended_at: float = 0.0
+    crossed_close: bool = False  # it was sent just before its connection was closed
+    resent: bool = False
+    withdrawn_at_once: bool = False  # its release was sent together with it
+    repeated_at: float = 0.0  # when its line was repeated
+    retries: int = 0  # number of refused set-ups that this one retries
 
     @property
-    def released(self) -> float:
-        """When its end was first told after an answer, 0 while it was not."""
+    def released_at(self) -> float:
+        """When its first release after an answer was received, 0 if none was."""
         return min((at for at, _ in self.releases), default=0.0)
 
 
 class CallerFault(Enum):
     NONE = "none"
-    PIECES = "lines in pieces"
-    GIVES_UP = "gives set-ups up early"
-    SLOW_READER = "reads seldom"
+    FRAGMENTS = "lines in pieces"
+    GIVES_UP = "gives up set-ups early"
+    SLOW_READER = "pauses between reads"
     CLOSES = "closes its connection with set-ups open"
-    EAGER = "tries again as soon as it is refused"
-    SLOW_WRITER = "stops in the middle of lines, for up to a second"
+    EAGER = "retries as soon as it is refused"
+    SLOW_WRITER = "pauses in the middle of lines, for up to a second"
 
 
 class Habit(Enum):
-    """What a caller does now and then, beside its fault."""
+    """Unusual things that a caller does now and then, in addition to its fault."""
 
-    REPEATS = "sends the line of a set-up again, once or twice"
-    TAKES_BACK = "sends a set-up and its release in one segment"
-    SHUTS_DOWN = "shuts down its sending side after a set-up, and reads on"
+    REPEATS_LINES = "repeats the line of a set-up once or twice"
+    WITHDRAWS_AT_ONCE = "sends a set-up and its release in one segment"
+    HALF_CLOSES = "shuts down its sending side after a set-up and goes on reading"
 
 
-class NotingProtocol(asyncio.StreamReaderProtocol):
-    """Knows when lines and the peer's close have come, however late the reader gets to them."""
+class ArrivalTimeProtocol(asyncio.StreamReaderProtocol):
+    """Records when lines and the peer's close were received, even if they are read later."""
 
-    closing = False
-    closed_at = 0.0
+    peer_closed = False
+    peer_closed_at = 0.0
 
     def __init__(self, reader: asyncio.StreamReader) -> None:
         super().__init__(reader)
-        self.arrivals: deque[float] = deque()  # of lines that are not read yet
+        self.arrivals: deque[float] = deque()  # of lines that have not been read yet
 
     def data_received(self, data: bytes) -> None:
         self.arrivals.extend([now()] * data.count(b"\n"))
         super().data_received(data)
 
     def eof_received(self) -> bool | None:
-        self.closing, self.closed_at = True, now()
+        self.peer_closed, self.peer_closed_at = True, now()
         return super().eof_received()
 
 
 class Caller:
-    """A client of one node that keeps a connection open and sends set-ups on it, and comes again at once when it ends."""
+    """A client of one node that sends set-ups on a persistent connection, and reconnects at once when the connection ends."""
 
     def __init__(
-        self, name: str, port: int, random: Random, book: dict[str, SetUp], fault: CallerFault, numbers: list[int]
+        self, name: str, port: int, random: Random, set_ups: dict[str, SetUp], fault: CallerFault, destinations: list[int]
     ) -> None:
-        self.name, self.port, self.random, self.book, self.fault = name, port, random, book, fault
-        self.numbers = numbers
+        self.name, self.port, self.random, self.set_ups, self.fault = name, port, random, set_ups, fault
+        self.destinations = destinations
         self.rate = 8.0  # set-ups a second
         self.stopping = False
         self.habits: set[Habit] = set()
-        self.habit_random = Random(0)  # of its own, so that a seed's other draws do not depend on habits
-        self.shut_down = False
-        self.closed_at: list[float] = []  # when it closed a connection itself: what came then it has not read
-        self.mid_line, self.held_back = False, b""  # a line stands half: what else is to be said waits
-        self.open: dict[str, SetUp] = {}
+        self.habit_random = Random(0)  # separate, so that the other draws of a seed do not depend on habits
+        self.sending_closed = False
+        self.close_times: list[float] = []  # when it closed a connection itself; what was received then is unread
+        self.is_mid_line, self.held_bytes = False, b""  # part of a line is written: further lines are held back
+        self.open_set_ups: dict[str, SetUp] = {}
         self.reader: asyncio.StreamReader | None = None
         self.writer: asyncio.StreamWriter | None = None
 
@@ -515,13 +519,13 @@
                 await asyncio.sleep(0.05)
                 continue
             reading = asyncio.ensure_future(self._read())
-            again = [set_up for set_up in self.open.values() if set_up.crossed]
-            self.open, self.mid_line, self.held_back, self.shut_down = {}, False, b"", False
+            to_resend = [set_up for set_up in self.open_set_ups.values() if set_up.crossed_close]
+            self.open_set_ups, self.is_mid_line, self.held_bytes, self.sending_closed = {}, False, b"", False
             with contextlib.suppress(OSError):
-                for set_up in again:
+                for set_up in to_resend:
                     await self._send(set_up)
-                await self._send_on(reading) if not self.stopping else await self._send_one()
-            if not (self.stopping or self.shut_down):
+                await self._send_set_ups(reading) if not self.stopping else await self._send_last_set_up()
+            if not (self.stopping or self.sending_closed):
                 reading.cancel()
             await asyncio.wait([reading])
             self.writer.close()
@@ -529,95 +533,105 @@
     async def _connect(self) -> None:
         loop = asyncio.get_running_loop()
         self.reader = asyncio.StreamReader(limit=1 << 20)
-        self.protocol = NotingProtocol(self.reader)
+        self.protocol = ArrivalTimeProtocol(self.reader)
         transport, _ = await loop.create_connection(lambda: self.protocol, own_address(), self.port)
         self.writer = asyncio.StreamWriter(transport, self.protocol, self.reader, loop)
 
-    async def _send_one(self) -> None:
-        """A caller that is done still comes back where its connection was closed, and hears of its calls."""
+    async def _send_last_set_up(self) -> None:
+        """Send a single set-up after reconnecting at the end of the trial, so that releases can be received here."""
         set_up = SetUp(f"{self.random.getrandbits(64):016x}", self.name, 0.3)
-        self.book[set_up.id] = set_up
+        self.set_ups[set_up.id] = set_up
         await self._send(set_up)
 
-    async def _send_on(self, reading: asyncio.Task) -> None:
+    async def _send_set_ups(self, reading: asyncio.Task) -> None:
         while not self.stopping and not reading.done():
             await asyncio.wait([reading], timeout=self.random.expovariate(self.rate))
             if reading.done() or self.stopping:
                 return
             set_up = SetUp(f"{self.random.getrandbits(64):016x}", self.name, self.random.choice([0.3, 1.0, 2.0, 3.0]))
-            self.book[set_up.id] = set_up
+            self.set_ups[set_up.id] = set_up
             await self._send(set_up)
-            if self._acts_on_habit(Habit.SHUTS_DOWN, 0.05):
-                self.shut_down = True
+            if self._follows_habit(Habit.HALF_CLOSES, 0.05):
+                self.sending_closed = True
                 self.writer.write_eof()
                 return
             if self.fault is CallerFault.GIVES_UP and self.random.random() < 0.4:
                 asyncio.get_running_loop().call_later(self.random.uniform(0.0, 0.3), self._give_up, set_up)
             if self.fault is CallerFault.CLOSES and self.random.random() < 0.1:
-                for other in self.open.values():
-                    other.given_up = other.given_up or now()
-                self.closed_at.append(now())
+                for other in self.open_set_ups.values():
+                    other.given_up_at = other.given_up_at or now()
+                self.close_times.append(now())
                 reset(self.writer) if self.random.random() < 0.5 else self.writer.close()
                 return
 
-    def _try_again(self, refused: SetUp) -> None:
-        """At once, whatever wait the refusal asked for; a retry has an id of its own."""
-        if refused.tries >= MOST_EAGER or self.stopping or self.shut_down or self.writer.is_closing() or self.protocol.closing:
+    def _retry(self, refused: SetUp) -> None:
+        """Retry a refused set-up at once, with a new id, whatever wait the refusal asked for."""
+        if (
+            refused.retries >= MAX_IMMEDIATE_RETRIES
+            or self.stopping
+            or self.sending_closed
+            or self.writer.is_closing()
+            or self.protocol.peer_closed
+        ):
             return
-        again = SetUp(f"{self.random.getrandbits(64):016x}", self.name, refused.left, tries=refused.tries + 1)
-        self.book[again.id] = again
-        self.open[again.id] = again
-        again.sent = now()
-        self.writer.write(self._line(again))
+        retry = SetUp(f"{self.random.getrandbits(64):016x}", self.name, refused.time_left, retries=refused.retries + 1)
+        self.set_ups[retry.id] = retry
+        self.open_set_ups[retry.id] = retry
+        retry.sent_at = now()
+        self.writer.write(self._set_up_line(retry))
 
-    def _acts_on_habit(self, habit: Habit, share: float) -> bool:
+    def _follows_habit(self, habit: Habit, share: float) -> bool:
         return (
-            habit in self.habits and not (self.writer.is_closing() or self.protocol.closing) and self.habit_random.random() < share
+            habit in self.habits
+            and not (self.writer.is_closing() or self.protocol.peer_closed)
+            and self.habit_random.random() < share
         )
 
-    def _send_again(self, set_up: SetUp, line: bytes, writer: asyncio.StreamWriter) -> None:
-        """The same line on the same connection, whatever has become of the set-up."""
-        if writer is self.writer and not (writer.is_closing() or self.protocol.closing or self.shut_down or self.mid_line):
+    def _repeat_set_up(self, set_up: SetUp, line: bytes, writer: asyncio.StreamWriter) -> None:
+        """Send the same line again on the same connection, whatever the state of the set-up."""
+        if writer is self.writer and not (
+            writer.is_closing() or self.protocol.peer_closed or self.sending_closed or self.is_mid_line
+        ):
             set_up.repeated_at = set_up.repeated_at or now()
             writer.write(line)
 
     async def _send(self, set_up: SetUp) -> None:
-        line = self._line(set_up)
-        whole = self.fault not in (CallerFault.PIECES, CallerFault.SLOW_WRITER) and not set_up.crossed
-        if whole and self._acts_on_habit(Habit.TAKES_BACK, 0.1):
-            set_up.sent = set_up.given_up = now()
-            set_up.taken_back = True
+        line = self._set_up_line(set_up)
+        complete = self.fault not in (CallerFault.FRAGMENTS, CallerFault.SLOW_WRITER) and not set_up.crossed_close
+        if complete and self._follows_habit(Habit.WITHDRAWS_AT_ONCE, 0.1):
+            set_up.sent_at = set_up.given_up_at = now()
+            set_up.withdrawn_at_once = True
             self.writer.write(line + self._release_line(set_up))
             return
-        if whole and self._acts_on_habit(Habit.REPEATS, 0.2):
+        if complete and self._follows_habit(Habit.REPEATS_LINES, 0.2):
             copies = line * self.habit_random.choice([1, 1, 2])
             later = self.habit_random.choice([0.0, 0.01, self.habit_random.uniform(0.0, 0.8)])
-            asyncio.get_running_loop().call_later(later, self._send_again, set_up, copies, self.writer)
-        if self.fault in (CallerFault.PIECES, CallerFault.SLOW_WRITER):
+            asyncio.get_running_loop().call_later(later, self._repeat_set_up, set_up, copies, self.writer)
+        if self.fault in (CallerFault.FRAGMENTS, CallerFault.SLOW_WRITER):
             cut = self.random.randrange(1, len(line))
             self.writer.write(line[:cut])
-            self.mid_line = True
-            await asyncio.sleep(self.random.uniform(0, 0.2 if self.fault is CallerFault.PIECES else 1.0))
-            self.mid_line = False
-            line, self.held_back = line[cut:] + self.held_back, b""
-        if self.writer.is_closing() or self.protocol.closing:
+            self.is_mid_line = True
+            await asyncio.sleep(self.random.uniform(0, 0.2 if self.fault is CallerFault.FRAGMENTS else 1.0))
+            self.is_mid_line = False
+            line, self.held_bytes = line[cut:] + self.held_bytes, b""
+        if self.writer.is_closing() or self.protocol.peer_closed:
             return
-        set_up.connection_ended = 0.0
-        self.open[set_up.id] = set_up
-        set_up.sent = now()
+        set_up.connection_ended_at = 0.0
+        self.open_set_ups[set_up.id] = set_up
+        set_up.sent_at = now()
         self.writer.write(line)
 
-    def _line(self, set_up: SetUp) -> bytes:
-        extras = f"dest:{self.random.choice(self.numbers)};width:1;via:-1"
-        fields = {"class": "voice", "left": str(int(set_up.left * 1000)), "key": set_up.id[:8], "extras": extras}
-        if set_up.tries:
+    def _set_up_line(self, set_up: SetUp) -> bytes:
+        extras = f"dest:{self.random.choice(self.destinations)};width:1;via:-1"
+        fields = {"class": "voice", "left": str(int(set_up.time_left * 1000)), "key": set_up.id[:8], "extras": extras}
+        if set_up.retries:
             fields["retry"] = "1"
         line = {"type": "setup", "id": set_up.id, "fields": fields, "sdp": f"of {set_up.id}\r\n{SDP_TAIL}"}
         return json.dumps(line).encode() + b"\n"
 
     def _give_up(self, set_up: SetUp) -> None:
-        if set_up.id in self.open and not (self.writer.is_closing() or self.shut_down):
-            set_up.given_up = now()
+        if set_up.id in self.open_set_ups and not (self.writer.is_closing() or self.sending_closed):
+            set_up.given_up_at = now()
             self._release(set_up)
 
     @staticmethod
@@ -626,67 +640,67 @@
 
     def _release(self, set_up: SetUp) -> None:
         line = self._release_line(set_up)
-        if self.shut_down:
+        if self.sending_closed:
             return
-        if self.mid_line:
-            self.held_back += line
+        if self.is_mid_line:
+            self.held_bytes += line
         else:
             self.writer.write(line)
 
     async def _read(self) -> None:
-        ended = "closed"
+        reason = "closed"
         try:
             while line := await self.reader.readline():
                 if not line.endswith(b"\n"):
                     break
-                self._came(json.loads(line), self.protocol.arrivals.popleft())
+                self._line_received(json.loads(line), self.protocol.arrivals.popleft())
                 if self.fault is CallerFault.SLOW_READER and self.random.random() < 0.1:
                     await asyncio.sleep(self.random.uniform(0, 0.3))
         except OSError as error:
-            ended = str(error)
+            reason = str(error)
         finally:
-            for set_up in self.open.values():
-                set_up.connection_ended = now()
-                crossed = (self.protocol.closed_at or now()) - set_up.sent <= CROSSING and not set_up.given_up
-                set_up.crossed, set_up.sent_again = crossed and not set_up.sent_again, set_up.crossed
-            self.ended = ended
-
-    def _came(self, line: dict, at: float) -> None:
-        set_up = self.book.get(line["id"])
+            for set_up in self.open_set_ups.values():
+                set_up.connection_ended_at = now()
+                crossed = (self.protocol.peer_closed_at or now()) - set_up.sent_at <= CROSSING_TIME and not set_up.given_up_at
+                set_up.crossed_close, set_up.resent = crossed and not set_up.resent, set_up.crossed_close
+            self.close_reason = reason
+
+    def _line_received(self, line: dict, at: float) -> None:
+        set_up = self.set_ups.get(line["id"])
         if set_up is None:
             return
-        answered = any(kind == "answer" for _, kind, _ in set_up.finals)
+        answered = any(kind == "answer" for _, kind, _ in set_up.final_answers)
         if line["type"] == "answer":
-            self._put_in_order_of_arrival(set_up, at)
+            self._restore_arrival_order(set_up, at)
         if line["type"] == "release" and (answered or self.name != set_up.node):
-            # A switch tells the end of any call to any node. That node can't know what the set-up's own node refused, and
-            # its caller may hear of it before the call's own caller has read the answer.
+            # A switch sends the BYE of a call to any node. That node does not know what the node of the set-up refused, and
+            # its caller may receive the release before the call's own caller has read the answer.
             set_up.releases.append((at, self.name))
         elif line["type"] in ("answer", "release"):
-            set_up.finals.append((at, line["type"], line.get("sdp", "")))
-            self.open.pop(set_up.id, None)
+            set_up.final_answers.append((at, line["type"], line.get("sdp", "")))
+            self.open_set_ups.pop(set_up.id, None)
             if line["type"] == "release" and self.fault is CallerFault.EAGER:
-                self._try_again(set_up)
+                self._retry(set_up)
             if line["type"] == "answer" and self.random.random() < 0.2:
-                asyncio.get_running_loop().call_later(self.random.uniform(0.05, 0.4), self._end, set_up)
+                asyncio.get_running_loop().call_later(self.random.uniform(0.05, 0.4), self._end_call, set_up)
 
-    def _put_in_order_of_arrival(self, set_up: SetUp, answered_at: float) -> None:
-        """A release that was read first, on another connection, but came after the answer is the end of the call."""
-        for final in set_up.finals:
+    def _restore_arrival_order(self, set_up: SetUp, answered_at: float) -> None:
+        """Treat a release that was read first, on another connection, but was received after the answer as the end of the call."""
+        for final in set_up.final_answers:
             if final[1] == "release" and final[0] > answered_at and self.name not in [by for _, by in set_up.releases]:
                 set_up.releases.append((final[0], self.name))
-                set_up.finals.remove(final)
+                set_up.final_answers.remove(final)
                 return
 
-    def _end(self, set_up: SetUp) -> None:
-        if set_up.released or self.writer.is_closing() or self.protocol.closing or self.shut_down:
+    def _end_call(self, set_up: SetUp) -> None:
+        if set_up.released_at or self.writer.is_closing() or self.protocol.peer_closed or self.sending_closed:
             return
-        set_up.ended_by_caller = now()
+        set_up.ended_by_caller_at = now()
         self._release(set_up)
 
 
 class BadCaller:
-    """Sends what no caller should, again and again, and reads nothing but what comes at once."""
+    """A client that sends invalid lines again and again."""
 
     LINES = (b"\xff\xfe\x00\n", b"x" * 20_000, b'{"type":"setup","id":"zz"}\n', b'{"type":"setup","id":"7777777777777777"}\n')
 
