--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -48,15 +48,15 @@
 CALLER = Hop("UDP", "127.0.0.1", 9000)
 
 
-class NotedHost:
+class RecordingHost:
     def __init__(self):
-        self.done = []
+        self.calls = []
 
     def __getattr__(self, name):
-        return lambda *args: self.done.append((name, *args))
+        return lambda *args: self.calls.append((name, *args))
 
-    def asked(self, name):
-        return [entry[1:] for entry in self.done if entry[0] == name]
+    def calls_of(self, name):
+        return [entry[1:] for entry in self.calls if entry[0] == name]
 
 
 def feed_in_cuts(reader, parts, data):
@@ -84,7 +84,7 @@
 @pytest.fixture
 def mesh():
     """Exchange 0 is the own one; 1, 2 and 3 are far ends with groups of 20 circuits, and time is 0."""
-    host = NotedHost()
+    host = RecordingHost()
     controller = CallController(
         host,
         7,
--- a/tests/test_caller_protocol.py
+++ b/tests/test_caller_protocol.py
@@ -3,7 +3,7 @@
 import json
 
 import pytest
-from conftest import NotedHost, feed_in_cuts, feed_until
+from conftest import RecordingHost, feed_in_cuts, feed_until
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -20,9 +20,9 @@
 
 
 def events_of(data):
-    handler = NotedHost()
+    handler = RecordingHost()
     CallerLineParser(handler).feed(data)
-    return handler.done
+    return handler.calls
 
 
 def test_a_set_up_is_parsed_with_numbers_as_integers_or_strings():
@@ -90,10 +90,10 @@
 
 
 def test_lines_before_an_invalid_one_are_passed_on():
-    handler = NotedHost()
+    handler = RecordingHost()
     with pytest.raises(InvalidLineError):
         CallerLineParser(handler).feed(line() + b"noise\n" + line())
-    assert len(handler.done) == 1
+    assert len(handler.calls) == 1
 
 
 @given(
@@ -106,10 +106,10 @@
 @settings(max_examples=150, deadline=None)
 def test_parsing_does_not_depend_on_where_the_bytes_are_cut(parts, data):
     parts = [part.replace(ID.encode(), b"%016x" % index) for index, part in enumerate(parts)]
-    handler = NotedHost()
+    handler = RecordingHost()
     parser = CallerLineParser(handler)
     whole = feed_in_cuts(parser, parts, data)
-    assert handler.done == events_of(whole)
+    assert handler.calls == events_of(whole)
     assert not parser.buffer
 
 
@@ -136,7 +136,7 @@
 @given(st.lists(st.binary(max_size=3000), max_size=20))
 @settings(max_examples=150, deadline=None)
 def test_any_bytes_are_parsed_or_rejected_in_bounded_memory(parts):
-    parser = CallerLineParser(NotedHost())
+    parser = CallerLineParser(RecordingHost())
     feed_until(parser, parts, InvalidLineError, lambda: parser.buffer, MAX_LINE_BYTES)
 
 
--- a/tests/test_restart_state.py
+++ b/tests/test_restart_state.py
@@ -3,7 +3,7 @@
 
 import pytest
 import structlog
-from conftest import VIDEO, VOICE, NotedHost, Peers, tag
+from conftest import VIDEO, VOICE, Peers, RecordingHost, tag
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -21,7 +21,7 @@
 
 
 def make_controller(now=0, listed=True, sizes=(20, 20, 20)):
-    host = NotedHost()
+    host = RecordingHost()
     controller = CallController(
         host,
         7,
@@ -107,7 +107,7 @@
     new.start(now)
     for dialog in range(40):
         new.dialog_received(now + SECOND, dialog, 0, 1, 1, f"n{dialog}", 30_000, False, False, False)
-    assert host.asked("send_leg")  # one second later not every set-up is held back
+    assert host.calls_of("send_leg")  # one second later not every set-up is held back
 
 
 def test_restored_state_loses_weight_gradually_with_age():
@@ -178,11 +178,11 @@
     )
     new.trunk_group_reported(now, 1, 20, 20)
     new.dialog_received(now + 1, 1, 0, 1, 1, "a", 90_000, False, False, False)
-    assert host.asked("send_leg") == []
+    assert host.calls_of("send_leg") == []
     for tick_at in range(now + 200, now + 21_000, 200):
         new.tick(tick_at)
     new.dialog_received(now + 21_000, 2, 0, 1, 1, "b", 90_000, False, False, False)
-    assert [entry[0] for entry in host.asked("send_leg")] == [2] or len(host.asked("send_leg")) >= 1
+    assert [entry[0] for entry in host.calls_of("send_leg")] == [2] or len(host.calls_of("send_leg")) >= 1
 
 
 RATES = st.floats(0, 1e4, allow_nan=False)
@@ -230,7 +230,7 @@
     later = now + MINUTE + SECOND
     for dialog, destination in enumerate((1, 2, 3)):
         controller.dialog_received(later, dialog, 0, destination, 1, f"new{dialog}", 90_000, False, False, False)
-    assert sorted(entry[1] for entry in host.asked("send_leg")) == [1, 2, 3]  # each gets a trial leg
+    assert sorted(entry[1] for entry in host.calls_of("send_leg")) == [1, 2, 3]  # each gets a trial leg
 
 
 def test_repeated_crashes_make_no_start_worse_than_the_one_before():
@@ -563,7 +563,7 @@
     from gingergap.duties.leases import FencingToken
     from gingergap.duties.manager import Duty, DutyManager
 
-    manager = DutyManager(NotedHost(), Random(1), 0, "p0", 1, frozenset({"p1"}), [Duty("probe x1", 100, 1_000)])
+    manager = DutyManager(RecordingHost(), Random(1), 0, "p0", 1, frozenset({"p1"}), [Duty("probe x1", 100, 1_000)])
     manager.restore_counter("probe x1", 17)
     assert manager.counters() == {"probe x1": 17} and manager.states["probe x1"].claim.start_round(0) == 18
     granted, newest = manager.handle_vote_request(10**6, "probe x1", FencingToken(12, "p1/1"), 100, -1)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -13,20 +13,20 @@
 def test_every_dialog_is_answered_before_its_caller_gives_up(mesh):
     mesh.came(0, expires_in=30_000)
     mesh.beats(30_000)
-    assert mesh.host.asked("abort") == [(0,)]
-    assert mesh.host.asked("cancel_leg") == [(0, 0)]
+    assert mesh.host.calls_of("abort") == [(0,)]
+    assert mesh.host.calls_of("cancel_leg") == [(0, 0)]
     end_leg(mesh, 0, 1, LegEnd.CANCELLED, 30_050)
     mesh.beats(60_000, 30_200)
-    assert len(mesh.host.asked("send_leg")) == 1
-    assert not mesh.host.asked("decline")
+    assert len(mesh.host.calls_of("send_leg")) == 1
+    assert not mesh.host.calls_of("decline")
 
 
 def test_a_transit_dialog_is_sent_to_its_destination_or_declined(mesh):
     mesh.gws[2].group.update(0, 20)
     mesh.came(0, far=2, transit=True)
     mesh.came(1, far=1, transit=True)
-    assert mesh.host.asked("decline") == [(0, 0)]
-    assert [leg[:2] for leg in mesh.host.asked("send_leg")] == [(1, 1)]
+    assert mesh.host.calls_of("decline") == [(0, 0)]
+    assert [leg[:2] for leg in mesh.host.calls_of("send_leg")] == [(1, 1)]
 
 
 def test_no_second_leg_is_sent_while_one_is_out(mesh):
@@ -39,14 +39,14 @@
 def test_no_leg_is_sent_to_a_draining_or_gone_exchange(mesh, state):
     mesh.controller.exchange_list_received(10, [ListEntry(1, 1, state, 0)], False)
     mesh.came(0, now=10)
-    assert not mesh.host.asked("send_leg")
-    assert mesh.host.asked("decline")
+    assert not mesh.host.calls_of("send_leg")
+    assert mesh.host.calls_of("decline")
 
 
 def test_an_exchange_missing_from_a_complete_list_is_gone(mesh):
     mesh.controller.exchange_list_received(10, [ListEntry(0, 0, GwState.READY, 0)], True)
     mesh.came(0, now=10)
-    assert not mesh.host.asked("send_leg")
+    assert not mesh.host.calls_of("send_leg")
 
 
 def test_a_cold_exchange_gets_no_more_legs_than_its_budget(mesh):
@@ -56,7 +56,7 @@
     mesh.controller.exchange_list_received(10, [ListEntry(1, 1, GwState.READY, 10)], False)
     for dialog in range(20):
         mesh.came(dialog, now=10)
-    assert len([leg for leg in mesh.host.asked("send_leg") if leg[1] == 1]) == 9
+    assert len([leg for leg in mesh.host.calls_of("send_leg") if leg[1] == 1]) == 9
 
 
 # Guards against a leg sent within the release guard of a cancelled one that lost its connection only later.
@@ -65,26 +65,26 @@
     end_leg(mesh, 0, 1, LegEnd.CANCELLED, 1_000)
     mesh.controller.leg_cut_late(2_600, 0)
     mesh.beats(4_600, 2_800)
-    assert len(mesh.host.asked("send_leg")) == 1
+    assert len(mesh.host.calls_of("send_leg")) == 1
     mesh.beats(5_000, 4_600)
-    assert len(mesh.host.asked("send_leg")) == 2
+    assert len(mesh.host.calls_of("send_leg")) == 2
 
 
 def test_the_next_leg_waits_for_the_release_guard(mesh):
     mesh.came(0)
     end_leg(mesh, 0, 1, LegEnd.CUT, 1_000)
     mesh.beats(3_000, 1_200)
-    assert len(mesh.host.asked("send_leg")) == 1
+    assert len(mesh.host.calls_of("send_leg")) == 1
     mesh.beats(3_400, 3_000)
-    assert len(mesh.host.asked("send_leg")) == 2
+    assert len(mesh.host.calls_of("send_leg")) == 2
 
 
 def test_a_dialog_in_doubt_that_is_not_repeatable_is_aborted(mesh):
     mesh.came(0, kind=2)
     end_leg(mesh, 0, 1, LegEnd.NO_ANSWER, 1_000)
     mesh.beats(4_000, 1_200)
-    assert mesh.host.asked("abort") == [(0,)]
-    assert len(mesh.host.asked("send_leg")) == 1
+    assert mesh.host.calls_of("abort") == [(0,)]
+    assert len(mesh.host.calls_of("send_leg")) == 1
 
 
 @pytest.mark.parametrize(
@@ -93,15 +93,15 @@
 def test_a_full_or_unreachable_exchange_gets_no_other_leg_at_once(mesh, leg_end, rsn):
     mesh.came(0)
     end_leg(mesh, 0, 1, leg_end, 100, rsn=rsn)
-    assert len(mesh.host.asked("send_leg")) == 1
+    assert len(mesh.host.calls_of("send_leg")) == 1
 
 
 def test_a_dialog_rejected_by_one_tandem_tries_the_other(mesh):
     mesh.gws[1].group.update(0, 20)
     mesh.came(0)
-    first = mesh.host.asked("send_leg")[0][1]
+    first = mesh.host.calls_of("send_leg")[0][1]
     end_leg(mesh, 0, first, LegEnd.FULL, 100, rsn=Rsn.TANDEM_DECLINED)
-    assert [leg[1] for leg in mesh.host.asked("send_leg")] == [first, 5 - first]
+    assert [leg[1] for leg in mesh.host.calls_of("send_leg")] == [first, 5 - first]
 
 
 def test_an_established_dialog_that_is_cut_is_forgotten_without_an_answer(mesh):
@@ -109,7 +109,7 @@
     mesh.controller.dialog_established(100, 0, 100)
     end_leg(mesh, 0, 1, LegEnd.CUT, 1_000, finished=True)
     assert not mesh.controller.dialogs
-    assert not mesh.host.asked("abort")
+    assert not mesh.host.calls_of("abort")
 
 
 def test_a_redial_keeps_the_objective_of_the_first_try(mesh):
@@ -124,12 +124,12 @@
         mesh.gws[gw].group.update(0, 20)
     mesh.came(0)
     mesh.came(1)
-    assert not mesh.host.asked("decline")
+    assert not mesh.host.calls_of("decline")
     mesh.controller.trunk_group_reported(5_000, 1, 1, 20)
     mesh.controller.tick(5_000)
-    assert [leg[:2] for leg in mesh.host.asked("send_leg")] == [(0, 1)]
+    assert [leg[:2] for leg in mesh.host.calls_of("send_leg")] == [(0, 1)]
     mesh.beats(15_000, 5_200)
-    assert mesh.host.asked("decline") == [(1, 20_000)]
+    assert mesh.host.calls_of("decline") == [(1, 20_000)]
 
 
 def test_a_waiting_dialog_goes_to_the_exchange_that_holds_the_number_now(mesh):
@@ -139,7 +139,7 @@
     mesh.controller.exchange_list_received(100, [ListEntry(1, 1, GwState.DRAINING, 0), ListEntry(9, 1, GwState.READY, 0)], False)
     mesh.controller.trunk_group_reported(100, 9, 1, 20)
     mesh.beats(600, 200)
-    assert [leg[:2] for leg in mesh.host.asked("send_leg")] == [(0, 9)]
+    assert [leg[:2] for leg in mesh.host.calls_of("send_leg")] == [(0, 9)]
 
 
 def test_a_single_slow_answer_counts_half(mesh):
@@ -160,7 +160,7 @@
     mesh.controller.exchange_list_received(30, [ListEntry(1, 1, GwState.GONE, 0)], False)
     mesh.controller.trunk_group_reported(30, 9, 20, 20)
     mesh.came(0, now=40)
-    assert [leg[:2] for leg in mesh.host.asked("send_leg")] == [(0, 9)]
+    assert [leg[:2] for leg in mesh.host.calls_of("send_leg")] == [(0, 9)]
 
 
 def test_the_best_setup_rate_falls_more_slowly_than_the_present_one(mesh):
@@ -177,7 +177,7 @@
         if answered:
             mesh.controller.dialog_established(1_500, dialog, 500)
     mesh.beats(14_000, start=2_000)
-    assert mesh.host.asked("cancel_leg") == ([(0, 0)] if answered else [])
+    assert mesh.host.calls_of("cancel_leg") == ([(0, 0)] if answered else [])
 
 
 def test_a_proven_tandem_is_selected_before_others(mesh):
@@ -186,7 +186,7 @@
     controller.proven_tandems[1] = [mesh.gws[3], mesh.gws[2]]
     controller.tandem_backoffs[3, 1] = (60_000, 60_000)
     mesh.came(0)
-    assert mesh.host.asked("send_leg")[0][1] == 2
+    assert mesh.host.calls_of("send_leg")[0][1] == 2
     end_leg(mesh, 0, 2, LegEnd.FULL, 100, rsn=Rsn.TANDEM_DECLINED)
     assert mesh.gws[2] not in controller.proven_tandems[1]
 
@@ -195,7 +195,7 @@
     mesh.gws[1].group.update(0, 20)
     mesh.controller.tandem_backoffs[2, 1] = mesh.controller.tandem_backoffs[3, 1] = (0, 60_000)
     mesh.came(0)
-    tandem = mesh.host.asked("send_leg")[0][1]
+    tandem = mesh.host.calls_of("send_leg")[0][1]
     end_leg(mesh, 0, tandem, LegEnd.FULL, 100, rsn=Rsn.TANDEM_DECLINED)
     assert mesh.controller.tandem_backoffs[tandem, 1] == (120_100, 120_000)
 
@@ -246,7 +246,7 @@
     mesh.gws[2].group.update(4, 20)
     mesh.controller.max_circuits = 2
     mesh.controller.tick(0)
-    assert mesh.host.asked("send_to_peers") == [(bytes([0, 0, 0b1100, 0b1000]),)]
+    assert mesh.host.calls_of("send_to_peers") == [(bytes([0, 0, 0b1100, 0b1000]),)]
 
 
 def test_circuits_are_reserved_for_a_more_important_waiting_dialog(mesh):
@@ -254,10 +254,10 @@
         mesh.gws[gw].group.update(1, 20)
     mesh.came(0, kind=1, width=2)
     mesh.came(1)
-    assert not mesh.host.asked("send_leg")
+    assert not mesh.host.calls_of("send_leg")
     mesh.controller.trunk_group_reported(100, 1, 2, 20)
     mesh.controller.tick(200)
-    assert [leg[0] for leg in mesh.host.asked("send_leg")] == [0]
+    assert [leg[0] for leg in mesh.host.calls_of("send_leg")] == [0]
 
 
 def test_full_legs_in_a_row_hold_back_dialogs_to_all_destinations(mesh):
@@ -266,7 +266,7 @@
     for dialog in range(4):
         end_leg(mesh, dialog, 1 + dialog % 2, LegEnd.FULL, 100, rsn=Rsn.PROCESSOR_FULL)
     mesh.came(8, far=3, now=200)
-    assert [leg for leg in mesh.host.asked("send_leg") if leg[1] == 3] == []
+    assert [leg for leg in mesh.host.calls_of("send_leg") if leg[1] == 3] == []
 
 
 def test_a_dialog_without_a_direct_group_tries_tandems_again_later(mesh):
@@ -274,10 +274,10 @@
     for gw in (2, 3):
         mesh.gws[gw].group.update(0, 20)
     mesh.came(0)
-    assert not mesh.host.asked("send_leg")
+    assert not mesh.host.calls_of("send_leg")
     mesh.gws[2].group.update(20, 20)
     mesh.beats(4_000, start=200)
-    assert [leg[:2] for leg in mesh.host.asked("send_leg")] == [(0, 2)]
+    assert [leg[:2] for leg in mesh.host.calls_of("send_leg")] == [(0, 2)]
 
 
 def test_tandems_without_room_or_in_a_slow_network_are_not_selected(mesh):
@@ -292,8 +292,8 @@
     for dialog, rsn in enumerate((Rsn.NONE, Rsn.LINES_BUSY, Rsn.NO_WAY)):
         mesh.came(dialog)
         end_leg(mesh, dialog, 1, LegEnd.BUSY, 100, rsn)
-    assert [leg[0] for leg in mesh.host.asked("send_leg")] == [0, 0, 1, 2]
-    assert [dialog for dialog, _ in mesh.host.asked("decline")] == [1, 2]
+    assert [leg[0] for leg in mesh.host.calls_of("send_leg")] == [0, 0, 1, 2]
+    assert [dialog for dialog, _ in mesh.host.calls_of("decline")] == [1, 2]
 
 
 def test_a_broken_far_end_gets_one_leg_per_dialog_until_a_dialog_is_established_there(mesh):
@@ -301,26 +301,26 @@
     six times the load on a broken far end because each dialog tries again."""
     for dialog in range(20):
         mesh.came(dialog)
-        while len(mesh.host.asked("send_leg")) > sum(len(mesh.host.asked(end)) for end in ("decline", "abort")) and not any(
-            entry[0] == dialog for entry in mesh.host.asked("decline")
+        while len(mesh.host.calls_of("send_leg")) > sum(len(mesh.host.calls_of(end)) for end in ("decline", "abort")) and not any(
+            entry[0] == dialog for entry in mesh.host.calls_of("decline")
         ):
             end_leg(mesh, dialog, 1, LegEnd.BUSY, 100)
-    before = len(mesh.host.asked("send_leg"))
+    before = len(mesh.host.calls_of("send_leg"))
     mesh.came(20)
     end_leg(mesh, 20, 1, LegEnd.BUSY, 200)
-    assert len(mesh.host.asked("send_leg")) == before + 1
+    assert len(mesh.host.calls_of("send_leg")) == before + 1
     for dialog in (21, 22, 23):
         mesh.came(dialog)
         mesh.controller.dialog_established(300, dialog, 100)
     mesh.came(24)
     end_leg(mesh, 24, 1, LegEnd.BUSY, 400)
-    assert [leg[0] for leg in mesh.host.asked("send_leg")].count(24) == 2
+    assert [leg[0] for leg in mesh.host.calls_of("send_leg")].count(24) == 2
 
 
 def test_a_signalling_fault_aborts_a_dialog_that_is_not_repeatable(mesh):
     mesh.came(0, kind=2)
     end_leg(mesh, 0, 1, LegEnd.BUSY, 100)
-    assert mesh.host.asked("abort") == [(0,)]
+    assert mesh.host.calls_of("abort") == [(0,)]
 
 
 def test_signs_of_load_fade_in_proportion_to_the_shortest_objective(mesh):
@@ -378,9 +378,9 @@
     mesh.came(0)
     end_leg(mesh, 0, 1, LegEnd.FULL, 0, Rsn.PROCESSOR_FULL)
     mesh.beats(2_400, 200)
-    assert len(mesh.host.asked("send_leg")) == 1
+    assert len(mesh.host.calls_of("send_leg")) == 1
     mesh.beats(3_000, 2_400)
-    assert len(mesh.host.asked("send_leg")) == 2
+    assert len(mesh.host.calls_of("send_leg")) == 2
 
 
 # Guards against a leg sent for a caller that has gone, and a leg cancelled that could still be answered.
@@ -389,8 +389,8 @@
     mesh.controller.caller_done(100, 0)
     end_leg(mesh, 0, 1, LegEnd.FULL, 200)
     mesh.beats(4_000, 200)
-    assert len(mesh.host.asked("send_leg")) == 1
-    assert len(mesh.host.asked("decline")) == 1
+    assert len(mesh.host.calls_of("send_leg")) == 1
+    assert len(mesh.host.calls_of("decline")) == 1
     mesh.gws[1].group.update(0, 20)
     mesh.came(1)
     mesh.controller.caller_done(4_000, 1)
--- a/tests/test_switch_protocol.py
+++ b/tests/test_switch_protocol.py
@@ -1,7 +1,7 @@
 """The switches' SIP: parsed the same however the bytes are cut, within bounded memory, and damaged answers are never passed on."""
 
 import pytest
-from conftest import NotedHost, feed_in_cuts, feed_until
+from conftest import RecordingHost, feed_in_cuts, feed_until
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -33,9 +33,9 @@
 
 
 def events_of(data):
-    handler = NotedHost()
+    handler = RecordingHost()
     SwitchMessageParser(handler).feed(data)
-    return handler.done
+    return handler.calls
 
 
 def test_each_message_calls_its_handler_method():
@@ -89,33 +89,33 @@
     ],
 )
 def test_a_truncated_description_is_never_passed_on(damaged):
-    handler = NotedHost()
+    handler = RecordingHost()
     with pytest.raises(BadMessageError):
         SwitchMessageParser(handler).feed(damaged)
-    assert not [entry for entry in handler.done if entry[0] == "answer_received"]
+    assert not [entry for entry in handler.calls if entry[0] == "answer_received"]
 
 
 def test_complete_messages_before_a_damaged_one_are_passed_on():
-    handler = NotedHost()
+    handler = RecordingHost()
     with pytest.raises(BadMessageError):
         SwitchMessageParser(handler).feed(BYE + response(200) + b"\xff\xff\r\n\r\n")
-    assert [entry[0] for entry in handler.done] == ["release_received", "answer_received"]
+    assert [entry[0] for entry in handler.calls] == ["release_received", "answer_received"]
 
 
 @given(st.lists(st.sampled_from([response(200), response(503, extra=REPORT), BYE, notify(5), notify(6)]), max_size=6), st.data())
 @settings(max_examples=150, deadline=None)
 def test_parsing_does_not_depend_on_where_the_bytes_are_cut(parts, data):
-    handler = NotedHost()
+    handler = RecordingHost()
     parser = SwitchMessageParser(handler)
     whole = feed_in_cuts(parser, parts, data)
-    assert handler.done == events_of(whole)
+    assert handler.calls == events_of(whole)
     assert not parser.has_partial_message
 
 
 @given(st.lists(st.binary(max_size=3000), max_size=20))
 @settings(max_examples=150, deadline=None)
 def test_any_bytes_are_parsed_or_rejected_in_bounded_memory(parts):
-    parser = SwitchMessageParser(NotedHost())
+    parser = SwitchMessageParser(RecordingHost())
     feed_until(parser, parts, BadMessageError, lambda: parser.framer.buffer, 2 * MAX_MESSAGE_BYTES)
 
 
--- a/tests/test_trace_versions.py
+++ b/tests/test_trace_versions.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from conftest import VIDEO, VOICE, NotedHost
+from conftest import VIDEO, VOICE, RecordingHost
 
 from gingergap import call_controller
 from gingergap.host import GwState, KnownCaller, KnownExchange, KnownPair, Learned, LegEnd, ListEntry, Rsn
@@ -295,7 +295,7 @@
 
 
 def test_a_version_with_the_earlier_interface_is_called_and_calls_by_the_present_names(earlier):
-    host = NotedHost()
+    host = RecordingHost()
     arguments = {name: 7 for name in present_arguments(dict.fromkeys(ARGUMENTS)) if name not in POSITIONAL}
     controller = earlier.CallController(host, 1, 0, 4, [VOICE, VIDEO], **arguments)
     controller.exchange_list_received(1, [ListEntry(3, 9, GwState.READY, 5)], True)
@@ -322,15 +322,15 @@
         ("group_told", 3, 10, 20),
         ("dialog_came", VIDEO.importance, 6),
     ]
-    assert host.asked("subscribe") == [()] and host.asked("schedule_tick") == [(200,), (200,)]
-    assert host.asked("send_to_peers") == [(b"told",)] and host.asked("send_leg") == [(11, 9, 30_000)]
-    assert host.asked("cancel_leg") == [(11, 90)] and host.asked("decline") == [(11, 7)] and host.asked("abort") == [(12,)]
+    assert host.calls_of("subscribe") == [()] and host.calls_of("schedule_tick") == [(200,), (200,)]
+    assert host.calls_of("send_to_peers") == [(b"told",)] and host.calls_of("send_leg") == [(11, 9, 30_000)]
+    assert host.calls_of("cancel_leg") == [(11, 90)] and host.calls_of("decline") == [(11, 7)] and host.calls_of("abort") == [(12,)]
     with pytest.raises(AttributeError):
         _ = controller.no_such_field
 
 
 def test_a_version_with_the_earlier_interface_takes_a_stored_state_over_under_its_own_names(earlier, recorded):
-    host = NotedHost()
+    host = RecordingHost()
     for data in snapshots(recorded):
         controller = thaw(data, host, earlier)
         assert {type(exchange) for exchange in controller.gws.values()} == {earlier.Exchange}
@@ -339,7 +339,7 @@
         assert controller.exchanges is controller.gws and controller.max_legs == 4
         assert vars(thaw(freeze(thaw(data, None)), host, earlier)).keys() == vars(controller).keys()
     controller.start(1)
-    assert host.asked("schedule_tick") == [(200,)]
+    assert host.calls_of("schedule_tick") == [(200,)]
 
 
 def test_a_version_with_the_earlier_interface_is_compared_event_by_event(earlier, recorded):
