--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -59,7 +59,7 @@
         return [entry[1:] for entry in self.calls if entry[0] == name]
 
 
-def feed_in_cuts(reader, parts, data):
+def feed_in_chunks(reader, parts, data):
     """Feed a reader the parts' bytes, cut anywhere; `data` is hypothesis's."""
     whole = b"".join(parts)
     cuts = sorted(data.draw(st.lists(st.integers(0, len(whole)), max_size=12)))
@@ -68,7 +68,7 @@
     return whole
 
 
-def feed_until(reader, parts, bad, held, most):
+def feed_until_error(reader, parts, bad, held, most):
     """Feed a reader any bytes until it raises `bad`; what it holds, by `held`, stays within `most`."""
     with contextlib.suppress(bad):
         for part in parts:
--- a/tests/test_caller_protocol.py
+++ b/tests/test_caller_protocol.py
@@ -3,7 +3,7 @@
 import json
 
 import pytest
-from conftest import RecordingHost, feed_in_cuts, feed_until
+from conftest import RecordingHost, feed_in_chunks, feed_until_error
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -108,7 +108,7 @@
     parts = [part.replace(ID.encode(), b"%016x" % index) for index, part in enumerate(parts)]
     handler = RecordingHost()
     parser = CallerLineParser(handler)
-    whole = feed_in_cuts(parser, parts, data)
+    whole = feed_in_chunks(parser, parts, data)
     assert handler.calls == events_of(whole)
     assert not parser.buffer
 
@@ -137,7 +137,7 @@
 @settings(max_examples=150, deadline=None)
 def test_any_bytes_are_parsed_or_rejected_in_bounded_memory(parts):
     parser = CallerLineParser(RecordingHost())
-    feed_until(parser, parts, InvalidLineError, lambda: parser.buffer, MAX_LINE_BYTES)
+    feed_until_error(parser, parts, InvalidLineError, lambda: parser.buffer, MAX_LINE_BYTES)
 
 
 def test_each_message_is_encoded_as_one_line():
--- a/tests/test_switch_protocol.py
+++ b/tests/test_switch_protocol.py
@@ -1,7 +1,7 @@
 """The switches' SIP: parsed the same however the bytes are cut, within bounded memory, and damaged answers are never passed on."""
 
 import pytest
-from conftest import RecordingHost, feed_in_cuts, feed_until
+from conftest import RecordingHost, feed_in_chunks, feed_until_error
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -107,7 +107,7 @@
 def test_parsing_does_not_depend_on_where_the_bytes_are_cut(parts, data):
     handler = RecordingHost()
     parser = SwitchMessageParser(handler)
-    whole = feed_in_cuts(parser, parts, data)
+    whole = feed_in_chunks(parser, parts, data)
     assert handler.calls == events_of(whole)
     assert not parser.has_partial_message
 
@@ -116,7 +116,7 @@
 @settings(max_examples=150, deadline=None)
 def test_any_bytes_are_parsed_or_rejected_in_bounded_memory(parts):
     parser = SwitchMessageParser(RecordingHost())
-    feed_until(parser, parts, BadMessageError, lambda: parser.framer.buffer, 2 * MAX_MESSAGE_BYTES)
+    feed_until_error(parser, parts, BadMessageError, lambda: parser.framer.buffer, 2 * MAX_MESSAGE_BYTES)
 
 
 def test_requests_are_encoded_with_id_number_and_description_unchanged():
