--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -107,14 +107,18 @@
     for gw in (1, 2, 3):
         controller.trunk_group_reported(0, gw, 20, 20)
 
-    def came(dialog, far=1, now=0, kind=0, width=1, expires_in=30_000, transit=False, number="n"):
-        controller.dialog_received(now, dialog, kind, far, width, f"{number}{dialog}", expires_in, transit, False, False)
+    def receive_dialog(dialog, destination=1, now=0, traffic_type=0, width=1, expires_in=30_000, transit=False, number="n"):
+        controller.dialog_received(
+            now, dialog, traffic_type, destination, width, f"{number}{dialog}", expires_in, transit, False, False
+        )
 
-    def beats(until, start=0):
-        for now in range(start, until, 200):
+    def tick_until(end, start=0):
+        for now in range(start, end, 200):
             controller.tick(now)
 
-    return SimpleNamespace(host=host, controller=controller, came=came, beats=beats, gws=controller.exchanges)
+    return SimpleNamespace(
+        host=host, controller=controller, receive_dialog=receive_dialog, tick_until=tick_until, gws=controller.exchanges
+    )
 
 
 class Peers:
--- a/tests/test_service_shutdown.py
+++ b/tests/test_service_shutdown.py
@@ -20,14 +20,14 @@
     if groups_full:
         for gw in (1, 2, 3):
             mesh.controller.trunk_group_reported(0, gw, 0, 20)
-    mesh.came(1, expires_in=90_000)
+    mesh.receive_dialog(1, expires_in=90_000)
     mesh.controller.shut_down(1_000, 7_500, 12_000)
-    mesh.came(2, now=2_000, expires_in=90_000)
-    mesh.came(3, now=7_500, expires_in=90_000)
+    mesh.receive_dialog(2, now=2_000, expires_in=90_000)
+    mesh.receive_dialog(3, now=7_500, expires_in=90_000)
     assert (3, 0) in mesh.host.calls_of("decline")
-    mesh.beats(12_200, 2_000)
+    mesh.tick_until(12_200, 2_000)
     answered = {dialog for name in ("decline", "abort") for dialog, *_ in mesh.host.calls_of(name)}
     assert answered == {1, 2, 3}
     sent = len(mesh.host.calls_of("send_leg"))
-    mesh.beats(40_000, 12_200)
+    mesh.tick_until(40_000, 12_200)
     assert len(mesh.host.calls_of("send_leg")) == sent
