--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -121,7 +121,7 @@
     )
 
 
-class Peers:
+class SimulatedPeers:
     """A proxy without sockets and everybody around it. Times in tenths of a millisecond from 0."""
 
     def __init__(self, settings=EDGE):
@@ -282,12 +282,12 @@
 
 @pytest.fixture
 def peers():
-    return Peers()
+    return SimulatedPeers()
 
 
 @pytest.fixture
-def peers_of():
-    return Peers
+def make_peers():
+    return SimulatedPeers
 
 
 def tag(message):
--- a/tests/test_edge_parts.py
+++ b/tests/test_edge_parts.py
@@ -298,10 +298,10 @@
         sip_mapping.parse_dialog_params(Message(fields=[(sip_mapping.DIALOG_FIELD, "transit;time-left=x")]))
 
 
-def test_peer_messages_are_sent_to_ready_exchanges_only(peers_of):
+def test_peer_messages_are_sent_to_ready_exchanges_only(make_peers):
     from conftest import EDGE
 
-    peers = peers_of(EDGE.replace("(tell-peers false)", ""))
+    peers = make_peers(EDGE.replace("(tell-peers false)", ""))
     peers.tell_list(1, [("x0", "ready", 0), ("x1", "gone", 0), ("x2", "ready", 0), ("x3", "ready", 0)], "full")
     peers.read = len(peers.sent)
     peers.pass_time(20_000)
--- a/tests/test_edge_proxy.py
+++ b/tests/test_edge_proxy.py
@@ -110,10 +110,10 @@
     assert len(peers.all("ACK", port=7101)) == 1 and len(peers.all("BYE", port=7101)) == 1
 
 
-def test_a_late_200_is_released_by_a_process_without_state_of_its_dialog(peers, peers_of):
+def test_a_late_200_is_released_by_a_process_without_state_of_its_dialog(peers, make_peers):
     invite = peers.invite()
     leg = peers.legs(invite.call_id)[0]
-    restarted = peers_of()
+    restarted = make_peers()
     restarted.answer(leg, 200)
     assert len(restarted.all("ACK", port=7101)) == 1 and len(restarted.all("BYE", port=7101)) == 1
 
@@ -333,10 +333,10 @@
     assert peers.proxy.open_dialogs <= 50
 
 
-def test_requests_over_the_transaction_limit_are_answered_without_state(peers_of):
+def test_requests_over_the_transaction_limit_are_answered_without_state(make_peers):
     from conftest import EDGE
 
-    peers = peers_of(EDGE.replace("(transactions 500)", "(transactions 5)"))
+    peers = make_peers(EDGE.replace("(transactions 500)", "(transactions 5)"))
     for _ in range(20):
         peers.invite()
     assert len(peers.proxy.transactions.servers) <= 5
--- a/tests/test_restart_state.py
+++ b/tests/test_restart_state.py
@@ -3,7 +3,7 @@
 
 import pytest
 import structlog
-from conftest import VIDEO, VOICE, Peers, RecordingHost, tag
+from conftest import VIDEO, VOICE, RecordingHost, SimulatedPeers, tag
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -419,7 +419,7 @@
 # --- a proxy that continues after another one was killed ---
 
 
-class Restarted(Peers):
+class Restarted(SimulatedPeers):
     """Peers of a proxy with a store. `found` is the RestoredState that the proxy starts with."""
 
     def __init__(self, folder, found=None, now=0, wall=1_000_000.0):
--- a/tests/test_spans.py
+++ b/tests/test_spans.py
@@ -196,13 +196,13 @@
 
 
 @pytest.fixture
-def recorded_peers(peers_of, monkeypatch):
+def recorded_peers(make_peers, monkeypatch):
     """Peers whose proxy records into a trace buffer, and the buffer."""
     import conftest
 
     buffer = TraceBuffer()
     monkeypatch.setattr(conftest, "build_proxy", lambda *args: build_proxy(*args, buffer))
-    return peers_of(), buffer
+    return make_peers(), buffer
 
 
 def notes_named(buffer, name):
@@ -243,7 +243,7 @@
     assert received < arrival  # otherwise records caused by the arrival could precede the note
 
 
-def test_messages_between_proxies_are_noted_under_their_call_id(recorded_peers, peers_of):
+def test_messages_between_proxies_are_noted_under_their_call_id(recorded_peers, make_peers):
     peers, buffer = recorded_peers
     message = Message("MESSAGE", "sip:proxy@127.0.0.1:7000", body=b"\0\1\2\3")
     message.fields = [
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -29,13 +29,13 @@
 
 
 @pytest.fixture
-def recorded_run(peers_of, monkeypatch):
+def recorded_run(make_peers, monkeypatch):
     """The trace buffer and header of a proxy that has served calls of all kinds."""
     import conftest
 
     buffer = TraceBuffer()
     monkeypatch.setattr(conftest, "build_proxy", lambda *args: build_proxy(*args, buffer))
-    peers = peers_of()
+    peers = make_peers()
     for number in range(60):
         invite = peers.invite(f"00{1 + number % 3}{number:03d}", expires=2)
         legs = peers.legs(invite.call_id)
--- a/tests/test_trace_tools.py
+++ b/tests/test_trace_tools.py
@@ -103,7 +103,7 @@
     folder = tmp_path_factory.mktemp("long")
     patch = pytest.MonkeyPatch()
     try:
-        buffer, header = fixture.__wrapped__(conftest.peers_of.__wrapped__(), patch)
+        buffer, header = fixture.__wrapped__(conftest.make_peers.__wrapped__(), patch)
     finally:
         patch.undo()
     return open_traces(
