--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -126,7 +126,7 @@
 
     def __init__(self, settings=EDGE):
         self.sent = []  # (message, hop), all that left
-        self.read = 0
+        self.read_count = 0
         self.now = 0
         serial = itertools.count(1)
         form = parse_form(settings, "test", edge=EdgeForm)
@@ -134,16 +134,16 @@
         self.calls = itertools.count(1)
         self.versions = itertools.count(1)
         self.tell_groups({1: 20, 2: 20, 3: 20})
-        self.new()
+        self.new_messages()
 
     def transmit(self, data, hop):
         self.sent.append((parse(data), hop))
 
     # --- looking ---
 
-    def new(self, method=None, status=None, port=None, cseq=None):
+    def new_messages(self, method=None, status=None, port=None, cseq=None):
         """Messages since the last look that fit; all others of that time are forgotten too."""
-        fresh, self.read = self.sent[self.read :], len(self.sent)
+        fresh, self.read_count = self.sent[self.read_count :], len(self.sent)
         return [
             message
             for message, hop in fresh
@@ -153,11 +153,11 @@
             and (cseq is None or message.cseq()[1] == cseq)
         ]
 
-    def all(self, method=None, status=None, port=None):
-        self.read = 0
-        return self.new(method, status, port)
+    def all_messages(self, method=None, status=None, port=None):
+        self.read_count = 0
+        return self.new_messages(method, status, port)
 
-    def finals(self, call):
+    def final_statuses(self, call):
         """Final answers to a caller's INVITE, in order."""
         return [
             message.status
--- a/tests/test_edge_parts.py
+++ b/tests/test_edge_parts.py
@@ -106,9 +106,9 @@
 
 def test_a_version_gap_in_the_list_is_resynchronised(peers):
     peers.tell_list(1, [("x0", "ready", 0), ("x1", "ready", 0), ("x2", "ready", 0), ("x3", "ready", 0)], "full")
-    peers.new()
+    peers.new_messages()
     peers.tell_list(3, [("x1", "gone", 0)])
-    assert [m.get("Event") for m in peers.new("SUBSCRIBE")] == ["exchange-list"]
+    assert [m.get("Event") for m in peers.new_messages("SUBSCRIBE")] == ["exchange-list"]
     assert peers.proxy.controller.exchange_by_number[1].ready  # not applied: version 2 is missing
     peers.tell_list(3, [("x0", "ready", 0), ("x1", "gone", 0), ("x2", "draining", 0)], "full")
     states = {name: peers.proxy.controller.exchanges[peers.proxy.gw_by_id[name]].ready for name in ("x1", "x2", "x3")}
@@ -150,9 +150,9 @@
 
 def test_a_restart_of_the_own_exchange_renews_the_group_subscription(peers):
     peers.tell_list(1, [("x0", "ready", 0)], "full")
-    peers.new()
+    peers.new_messages()
     peers.tell_list(2, [("x0", "ready", 1_000_000.0)])
-    assert [m.get("Event") for m in peers.new("SUBSCRIBE")] == ["trunk-groups"]
+    assert [m.get("Event") for m in peers.new_messages("SUBSCRIBE")] == ["trunk-groups"]
 
 
 @pytest.mark.parametrize(
@@ -172,14 +172,14 @@
         ("Subscription-State", "active"),
     ]
     peers.come(message)
-    assert [m.status for m in peers.new(port=9000)] == [400 if body else 200]
+    assert [m.status for m in peers.new_messages(port=9000)] == [400 if body else 200]
     assert peers.proxy.controller.exchange_by_number == before
 
 
 def test_the_list_is_subscribed_to_again_after_it_became_silent(peers):
     peers.tell_list(1, [("x0", "ready", 0), ("x1", "ready", 0)], "full")
     peers.pass_time(100 * SECOND)
-    lists = [m for m in peers.all("SUBSCRIBE") if m.get("Event") == "exchange-list"]
+    lists = [m for m in peers.all_messages("SUBSCRIBE") if m.get("Event") == "exchange-list"]
     assert len({m.call_id for m in lists}) > 2
     assert peers.proxy.controller.exchange_by_number[1].ready  # the last known list stays in use
 
@@ -303,10 +303,10 @@
 
     peers = make_peers(EDGE.replace("(tell-peers false)", ""))
     peers.tell_list(1, [("x0", "ready", 0), ("x1", "gone", 0), ("x2", "ready", 0), ("x3", "ready", 0)], "full")
-    peers.read = len(peers.sent)
+    peers.read_count = len(peers.sent)
     peers.pass_time(20_000)
-    assert {hop.port for m, hop in peers.sent[peers.read :] if m.method == "MESSAGE"} == {7102, 7103}
-    peers.new()
+    assert {hop.port for m, hop in peers.sent[peers.read_count :] if m.method == "MESSAGE"} == {7102, 7103}
+    peers.new_messages()
     message = Message("MESSAGE", "sip:proxy@127.0.0.1:7000", body=b"\0\2\x0e\x0e")
     message.fields = [
         ("Via", "SIP/2.0/UDP 127.0.0.1:9000;branch=z9hG4bKm"),
--- a/tests/test_edge_proxy.py
+++ b/tests/test_edge_proxy.py
@@ -16,13 +16,13 @@
     assert leg.uri.startswith("sip:001555;tgrp=g0-1;trunk-context=")
     assert leg.get("Record-Route") == "<sip:127.0.0.1:7000;lr>" and leg.get("Max-Forwards") == "69"
     peers.answer((leg, hop), 200)
-    assert peers.finals(invite.call_id) == [200]
+    assert peers.final_statuses(invite.call_id) == [200]
     (call,) = peers.proxy.calls.values()
     assert call.established and peers.proxy.open_dialogs == 0
     peers.within("ACK", invite.call_id, number=1)
-    assert peers.all("ACK", port=7101)
+    assert peers.all_messages("ACK", port=7101)
     bye = peers.within("BYE", invite.call_id)
-    (forwarded,) = peers.all("BYE", port=7101)
+    (forwarded,) = peers.all_messages("BYE", port=7101)
     assert forwarded.call_id == bye.call_id and not forwarded.has("Route")
     peers.answer((forwarded, Hop("UDP", "127.0.0.1", 7101)), 200, contact=False)
     assert [m.cseq()[1] for m, hop in peers.sent if m.status == 200 and hop.port == 9000] == ["INVITE", "BYE"]
@@ -32,13 +32,13 @@
 def test_an_invite_retransmitted_after_the_time_out_gets_the_same_response_and_no_leg(peers):
     invite = peers.invite(expires=1)
     peers.pass_time(12_000)
-    assert peers.finals(invite.call_id)[0] == 408
+    assert peers.final_statuses(invite.call_id)[0] == 408
     legs = len(peers.legs(invite.call_id))
-    before = len(peers.finals(invite.call_id))
+    before = len(peers.final_statuses(invite.call_id))
     peers.come(invite)
-    assert peers.finals(invite.call_id)[before:] == [408]
+    assert peers.final_statuses(invite.call_id)[before:] == [408]
     assert len(peers.legs(invite.call_id)) == legs
-    answers = [m for m in peers.all(status=408) if m.call_id == invite.call_id]
+    answers = [m for m in peers.all_messages(status=408) if m.call_id == invite.call_id]
     assert len({bytes(answer) for answer in answers}) == 1
 
 
@@ -46,15 +46,15 @@
     invite = peers.invite(expires=2)
     peers.answer(peers.legs(invite.call_id)[0], 100)
     peers.pass_time(20_000)
-    assert peers.finals(invite.call_id)[0] == 408
-    assert peers.all("CANCEL", port=7101)  # the pending leg is cancelled
+    assert peers.final_statuses(invite.call_id)[0] == 408
+    assert peers.all_messages("CANCEL", port=7101)  # the pending leg is cancelled
 
 
 def test_a_cancel_after_the_200_has_no_effect(peers):
     invite, leg = peers.standing()
     peers.cancel(invite)
-    assert peers.finals(invite.call_id) == [200]
-    assert not peers.all("CANCEL") and not peers.all("BYE")
+    assert peers.final_statuses(invite.call_id) == [200]
+    assert not peers.all_messages("CANCEL") and not peers.all_messages("BYE")
     peers.within("BYE", invite.call_id)
     assert not peers.proxy.calls
 
@@ -64,14 +64,14 @@
     leg = peers.legs(invite.call_id)[0]
     peers.answer(leg, 100)
     peers.cancel(invite)
-    assert peers.finals(invite.call_id) == [487]
+    assert peers.final_statuses(invite.call_id) == [487]
     assert [m.status for m, hop in peers.sent if hop.port == 9000 and m.status and m.cseq()[1] == "CANCEL"] == [200]
-    assert len(peers.all("CANCEL", port=7101)) == 1
+    assert len(peers.all_messages("CANCEL", port=7101)) == 1
     for _ in range(3):  # the 200 is retransmitted until its ACK arrives
         peers.answer(leg, 200)
-    assert peers.finals(invite.call_id) == [487]
-    assert len(peers.all("ACK", port=7101)) == 3
-    (bye,) = peers.all("BYE", port=7101)
+    assert peers.final_statuses(invite.call_id) == [487]
+    assert len(peers.all_messages("ACK", port=7101)) == 3
+    (bye,) = peers.all_messages("BYE", port=7101)
     assert bye.get("To").endswith("tag=far") and bye.get("From") == invite.get("From")
     assert bye.cseq() == (2, "BYE")
     assert not peers.proxy.calls
@@ -83,8 +83,8 @@
     peers.answer(leg, 180)
     peers.cancel(invite)
     peers.answer(leg, 487)
-    assert peers.finals(invite.call_id) == [487]
-    assert peers.all("ACK", port=7101) and not peers.all("BYE")
+    assert peers.final_statuses(invite.call_id) == [487]
+    assert peers.all_messages("ACK", port=7101) and not peers.all_messages("BYE")
     assert len(peers.legs(invite.call_id)) == 1
 
 
@@ -92,22 +92,22 @@
     invite = peers.invite()
     leg = peers.legs(invite.call_id)[0]
     peers.cancel(invite)
-    assert not peers.all("CANCEL", port=7101)
+    assert not peers.all_messages("CANCEL", port=7101)
     sent = len(peers.sent)
     peers.pass_time(30_000)
     assert not [m for m, hop in peers.sent[sent:] if m.method == "INVITE"]  # and is not retransmitted
     peers.answer(leg, 100)
-    assert len(peers.all("CANCEL", port=7101)) == 1
+    assert len(peers.all_messages("CANCEL", port=7101)) == 1
 
 
 def test_a_late_200_of_an_abandoned_leg_is_not_forwarded_to_the_caller(peers):
     invite = peers.invite(expires=1)
     leg = peers.legs(invite.call_id)[0]
     peers.pass_time(12_000)
-    answered = list(peers.finals(invite.call_id))
+    answered = list(peers.final_statuses(invite.call_id))
     peers.answer(leg, 200)
-    assert peers.finals(invite.call_id) == answered
-    assert len(peers.all("ACK", port=7101)) == 1 and len(peers.all("BYE", port=7101)) == 1
+    assert peers.final_statuses(invite.call_id) == answered
+    assert len(peers.all_messages("ACK", port=7101)) == 1 and len(peers.all_messages("BYE", port=7101)) == 1
 
 
 def test_a_late_200_is_released_by_a_process_without_state_of_its_dialog(peers, make_peers):
@@ -115,21 +115,21 @@
     leg = peers.legs(invite.call_id)[0]
     restarted = make_peers()
     restarted.answer(leg, 200)
-    assert len(restarted.all("ACK", port=7101)) == 1 and len(restarted.all("BYE", port=7101)) == 1
+    assert len(restarted.all_messages("ACK", port=7101)) == 1 and len(restarted.all_messages("BYE", port=7101)) == 1
 
 
 def test_a_200_retransmitted_because_its_ack_was_lost_is_forwarded_again(peers):
     invite, leg = peers.standing()
     peers.answer(leg, 200)
-    assert peers.finals(invite.call_id) == [200, 200]
-    assert not peers.all("BYE")
+    assert peers.final_statuses(invite.call_id) == [200, 200]
+    assert not peers.all_messages("BYE")
 
 
 def test_a_second_fork_that_answers_is_released_and_the_first_is_kept(peers):
     invite, leg = peers.standing()
     peers.answer(leg, 200, tag="other")
-    assert peers.finals(invite.call_id) == [200]
-    (bye,) = peers.all("BYE", port=7101)
+    assert peers.final_statuses(invite.call_id) == [200]
+    (bye,) = peers.all_messages("BYE", port=7101)
     assert bye.get("To").endswith("tag=other")
     assert len(peers.proxy.calls) == 1
 
@@ -142,7 +142,7 @@
     peers.within("BYE", invite.call_id)
     peers.within("BYE", invite.call_id, by_caller=False)
     assert ended == [LegEnd.ENDED]
-    assert len(peers.all("BYE", port=7101)) == 1 and len(peers.all("BYE", port=9000)) == 1
+    assert len(peers.all_messages("BYE", port=7101)) == 1 and len(peers.all_messages("BYE", port=9000)) == 1
 
 
 def test_a_bye_with_a_failure_cause_reports_a_cut_dialog(peers):
@@ -156,7 +156,7 @@
 
 def test_a_request_in_a_dialog_from_before_a_restart_is_forwarded(peers):
     peers.within("BYE", "unknown-here")
-    assert len(peers.all("BYE", port=7101)) == 1
+    assert len(peers.all_messages("BYE", port=7101)) == 1
 
 
 @pytest.mark.parametrize(
@@ -165,8 +165,8 @@
 def test_a_leg_to_a_busy_or_unknown_number_ends_the_dialog(peers, status, fields, final):
     invite = peers.invite()
     peers.answer(peers.legs(invite.call_id)[0], status, fields=fields)
-    assert peers.finals(invite.call_id) == [final]
-    assert peers.all("ACK", port=7101)
+    assert peers.final_statuses(invite.call_id) == [final]
+    assert peers.all_messages("ACK", port=7101)
 
 
 def test_a_leg_over_a_tandem_follows_a_full_direct_group(peers):
@@ -176,7 +176,7 @@
     assert len(legs) == 2 and legs[1][1].port in (7102, 7103)
     assert "transit" in legs[1][0].get("Gingergap-Dialog")
     peers.answer(legs[1], 200)
-    assert peers.finals(invite.call_id) == [200]
+    assert peers.final_statuses(invite.call_id) == [200]
 
 
 def leg_over_tcp(peers):
@@ -236,7 +236,7 @@
     assert peers.proxy.counts["legs ended unreachable"] == 1
     assert len(peers.legs(invite.call_id)) == 1  # and it is not tried again at once
     peers.pass_time(32_000)
-    assert set(peers.finals(invite.call_id)) == {503}
+    assert set(peers.final_statuses(invite.call_id)) == {503}
 
 
 def test_a_dialog_in_transit_is_sent_to_its_destination_only(peers):
@@ -244,7 +244,7 @@
     ((leg, hop),) = peers.legs(invite.call_id)
     assert hop.port == 7101 and "transit" not in leg.get("Gingergap-Dialog")
     peers.answer((leg, hop), 503, fields=[("Reason", "Q.850;cause=42")])
-    while len(peers.finals(invite.call_id)) == 0 and peers.now < 20_000:
+    while len(peers.final_statuses(invite.call_id)) == 0 and peers.now < 20_000:
         peers.pass_time(peers.now + 500)
         for again in peers.legs(invite.call_id)[1:]:
             peers.answer(again, 503, fields=[("Reason", "Q.850;cause=42")])
@@ -270,19 +270,19 @@
     assert [h.port for _, h in peers.legs(transit.call_id)] == [7100 + far]
     peers.answer((tandem, hop), 200)
     peers.answer(peers.legs("theirs")[0], 200)
-    assert peers.finals(own_dialog.call_id) == [200]
+    assert peers.final_statuses(own_dialog.call_id) == [200]
     assert [m.status for m, h in peers.sent if m.call_id == "theirs" and h.port == hop.port and m.status >= 200] == [200]
 
 
 def test_a_looped_request_is_rejected(peers):
     peers.invite(fields=[("Via", "SIP/2.0/UDP 127.0.0.1:7000;branch=z9hG4bKold")])
-    assert peers.all(status=482) and not peers.legs("call1")
+    assert peers.all_messages(status=482) and not peers.legs("call1")
 
 
 def test_the_same_dialog_received_by_a_second_path_is_rejected(peers):
     first = peers.invite()
     peers.invite(branch="z9hG4bKother", call=first.call_id)
-    assert len(peers.all(status=482)) == 1 and len(peers.legs(first.call_id)) == 1
+    assert len(peers.all_messages(status=482)) == 1 and len(peers.legs(first.call_id)) == 1
 
 
 @pytest.mark.parametrize(
@@ -304,13 +304,13 @@
 def test_an_invalid_invite_is_answered_and_leaves_no_state(peers, change, status):
     message = peers.invite()
     calls_before = len(peers.proxy.calls)
-    peers.read = len(peers.sent)
+    peers.read_count = len(peers.sent)
     message = message.copy()
     message.put("Call-ID", "bad")
     message.put("Via", "SIP/2.0/UDP 127.0.0.1:9000;branch=z9hG4bKbad")
     change(message)
     peers.come(message)
-    assert [m.status for m in peers.new(port=9000)] == [status]
+    assert [m.status for m in peers.new_messages(port=9000)] == [status]
     assert len(peers.proxy.calls) == calls_before and not peers.legs("bad")
 
 
@@ -318,13 +318,13 @@
     message = Message("INVITE", "sip:001@127.0.0.1:7000")
     message.fields = [("From", "<sip:a>;tag=1"), ("To", "<sip:b>"), ("Call-ID", "x"), ("CSeq", "1 INVITE")]
     peers.come(message)
-    assert not peers.new() and not peers.proxy.calls
+    assert not peers.new_messages() and not peers.proxy.calls
 
 
 def test_dialogs_over_the_limit_are_rejected_at_once_and_retransmissions_send_no_legs(peers):
     invites = [peers.invite(expires=30) for _ in range(60)]
-    peers.read = 0
-    rejected = [m for m in peers.new(status=503) if m.get("Retry-After")]
+    peers.read_count = 0
+    rejected = [m for m in peers.new_messages(status=503) if m.get("Retry-After")]
     assert rejected and peers.proxy.open_dialogs <= 50
     legs = peers.proxy.counts["legs"]
     for invite in invites:
@@ -340,7 +340,7 @@
     for _ in range(20):
         peers.invite()
     assert len(peers.proxy.transactions.servers) <= 5
-    rejected = peers.all(status=503)
+    rejected = peers.all_messages(status=503)
     assert len(rejected) >= 15 and all(m.get("Retry-After") == "1" for m in rejected)
 
 
@@ -348,7 +348,7 @@
     invite, _ = peers.standing()
     peers.proxy.admission.draining = True
     late = peers.invite()
-    assert peers.finals(late.call_id) == [503]
+    assert peers.final_statuses(late.call_id) == [503]
     peers.within("BYE", invite.call_id)
     assert not peers.proxy.calls
 
@@ -385,7 +385,7 @@
             ("CSeq", f"2 {method}"),
         ]
         peers.come(message)
-    assert [m.status for m in peers.new()] == [400]
+    assert [m.status for m in peers.new_messages()] == [400]
     assert not [key for key in peers.proxy.transactions.clients if key[1] == "BYE"]
 
 
--- a/tests/test_restart_state.py
+++ b/tests/test_restart_state.py
@@ -457,7 +457,7 @@
     restarted = peers.kill_and_restart()
     assert restarted.proxy.counts["remembered"] == 1
     restarted.within("BYE", invite.call_id)
-    assert [message.method for message in restarted.new("BYE", port=7101)] == ["BYE"]
+    assert [message.method for message in restarted.new_messages("BYE", port=7101)] == ["BYE"]
     assert restarted.proxy.calls == {}
     third = restarted.kill_and_restart()
     assert "remembered" not in third.proxy.counts
@@ -468,7 +468,7 @@
     invite, leg = peers.standing()
     restarted = peers.kill_and_restart()
     restarted.within("BYE", invite.call_id, by_caller=False)
-    assert restarted.new("BYE", port=9000) and restarted.proxy.calls == {}
+    assert restarted.new_messages("BYE", port=9000) and restarted.proxy.calls == {}
 
 
 def test_a_retransmitted_answer_after_a_restart_is_forwarded_and_ends_nothing(tmp_path):
@@ -478,9 +478,9 @@
     restarted.answer(leg, 200)
     forwarded = [(message, hop) for message, hop in restarted.sent if message.status == 200 and message.cseq()[1] == "INVITE"]
     assert len(forwarded) == 1 and forwarded[0][1].port == 9000 and top_via(forwarded[0][0]).port == 9000
-    assert not restarted.all("BYE") and len(restarted.proxy.calls) == 1
+    assert not restarted.all_messages("BYE") and len(restarted.proxy.calls) == 1
     restarted.answer(leg, 200, tag="another")  # the answer of another fork is released
-    assert restarted.all("BYE")
+    assert restarted.all_messages("BYE")
 
 
 def test_an_answer_to_a_set_up_interrupted_by_the_restart_is_released(tmp_path):
@@ -490,7 +490,7 @@
     restarted = peers.kill_and_restart()
     assert "remembered" not in restarted.proxy.counts
     restarted.answer(leg, 200)
-    assert restarted.all("ACK") and restarted.all("BYE")
+    assert restarted.all_messages("ACK") and restarted.all_messages("BYE")
 
 
 def test_the_exchange_list_is_restored(tmp_path):
--- a/tests/test_spans.py
+++ b/tests/test_spans.py
@@ -236,7 +236,7 @@
         if free:
             peers.answer(legs[0], 200)
         else:
-            assert not legs and peers.finals(call) == [503]
+            assert not legs and peers.final_statuses(call) == [503]
         assert notes_named(buffer, "sent")[-1][1] == answer_id(ids[1])
     events = [record[0] for record in buffer.records]
     received, arrival = events.index(CODES["received"]), events.index(CODES["dialog_received"])
@@ -257,7 +257,7 @@
     peers.come(message, Hop("UDP", "127.0.0.1", 7100))
     assert notes_named(buffer, "received") == [[0, message_id("word1"), -1]]
     peers.proxy.send_to_peers(b"\0\1\2\3")
-    sent_ids = {message_id(message.call_id) for message in peers.all("MESSAGE")}
+    sent_ids = {message_id(message.call_id) for message in peers.all_messages("MESSAGE")}
     assert sent_ids == {note[1] for note in notes_named(buffer, "sent")} and sent_ids
 
 
@@ -268,7 +268,7 @@
     peers.proxy.timer_ran_late(5_200, 30_000)
     assert notes_named(buffer, "ran_late") == [[5_100, 900], [5_200, 30_000]]
     invite = peers.invite("001555")
-    assert peers.finals(invite.call_id) == [503] and notes_named(buffer, "dialog_rejected")[0][1] == 0
+    assert peers.final_statuses(invite.call_id) == [503] and notes_named(buffer, "dialog_rejected")[0][1] == 0
     peers.proxy.remark(6_000, "phones dead in Bellville")
     assert notes_named(buffer, "remark") == [[6_000, "phones dead in Bellville"]]
 
