--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -133,7 +133,7 @@
         self.proxy = build_proxy(form, self, structlog.get_logger(), 0, 1_000_000.0, lambda size: f"{next(serial):0{size}x}")
         self.calls = itertools.count(1)
         self.versions = itertools.count(1)
-        self.tell_groups({1: 20, 2: 20, 3: 20})
+        self.notify_groups({1: 20, 2: 20, 3: 20})
         self.new_messages()
 
     def transmit(self, data, hop):
@@ -167,12 +167,12 @@
 
     # --- acting ---
 
-    def pass_time(self, to):
+    def advance_to(self, to):
         for now in range(self.now + 50, to + 1, 50):
             self.proxy.due(now)
         self.now = to
 
-    def come(self, message, hop=CALLER):
+    def deliver(self, message, hop=CALLER):
         data = bytes(message)
         self.proxy.got(self.now, parse(data), hop)
 
@@ -190,7 +190,7 @@
             ("Expires", str(expires)),
             *fields,
         ]
-        self.come(message, hop)
+        self.deliver(message, hop)
         return message
 
     def legs(self, call):
@@ -206,15 +206,15 @@
         extra = [*fields]
         if 200 <= status < 300 and contact:
             extra.append(("Contact", f"<sip:far@{hop.host}:{hop.port}>"))
-        self.come(response(message, status, tag, extra), hop)
+        self.deliver(response(message, status, tag, extra), hop)
 
     def cancel(self, invite, hop=CALLER):
         message = Message("CANCEL", invite.uri)
         message.fields = [entry for entry in invite.fields if entry[0] in ("Via", "From", "To", "Call-ID")]
         message.fields += [("CSeq", "1 CANCEL"), ("Max-Forwards", "70")]
-        self.come(message, hop)
+        self.deliver(message, hop)
 
-    def within(self, method, call, by_caller=True, tag="far", number=2, fields=()):
+    def send_in_dialog(self, method, call, by_caller=True, tag="far", number=2, fields=()):
         message = Message(method, "sip:far@127.0.0.1:7101" if by_caller else "sip:c@127.0.0.1:9000")
         hop = CALLER if by_caller else Hop("UDP", "127.0.0.1", 7101)
         ends = [("From", "<sip:c@127.0.0.1>;tag=ct"), ("To", f"<sip:001555@127.0.0.1>;tag={tag}")]
@@ -229,7 +229,7 @@
             ("CSeq", f"{number} {method}"),
             *fields,
         ]
-        self.come(message, hop)
+        self.deliver(message, hop)
         return message
 
     def notify(self, event, body, state="active"):
@@ -245,9 +245,9 @@
             ("Event", event),
             ("Subscription-State", state),
         ]
-        self.come(message, Hop("UDP", "127.0.0.1", 7300))
+        self.deliver(message, Hop("UDP", "127.0.0.1", 7300))
 
-    def tell_groups(self, free, size=20):
+    def notify_groups(self, free, size=20):
         self.notify(
             "trunk-groups",
             {
@@ -258,7 +258,7 @@
             },
         )
 
-    def tell_list(self, version, lines, state="partial", epoch="e"):
+    def notify_list(self, version, lines, state="partial", epoch="e"):
         self.notify(
             "exchange-list",
             {
@@ -272,7 +272,7 @@
             },
         )
 
-    def standing(self, number="001555"):
+    def establish_dialog(self, number="001555"):
         """A dialog that stands; its INVITE and its leg."""
         invite = self.invite(number)
         leg = self.legs(invite.call_id)[0]
--- a/tests/test_edge_parts.py
+++ b/tests/test_edge_parts.py
@@ -105,31 +105,31 @@
 
 
 def test_a_version_gap_in_the_list_is_resynchronised(peers):
-    peers.tell_list(1, [("x0", "ready", 0), ("x1", "ready", 0), ("x2", "ready", 0), ("x3", "ready", 0)], "full")
+    peers.notify_list(1, [("x0", "ready", 0), ("x1", "ready", 0), ("x2", "ready", 0), ("x3", "ready", 0)], "full")
     peers.new_messages()
-    peers.tell_list(3, [("x1", "gone", 0)])
+    peers.notify_list(3, [("x1", "gone", 0)])
     assert [m.get("Event") for m in peers.new_messages("SUBSCRIBE")] == ["exchange-list"]
     assert peers.proxy.controller.exchange_by_number[1].ready  # not applied: version 2 is missing
-    peers.tell_list(3, [("x0", "ready", 0), ("x1", "gone", 0), ("x2", "draining", 0)], "full")
+    peers.notify_list(3, [("x0", "ready", 0), ("x1", "gone", 0), ("x2", "draining", 0)], "full")
     states = {name: peers.proxy.controller.exchanges[peers.proxy.gw_by_id[name]].ready for name in ("x1", "x2", "x3")}
     assert states == {"x1": False, "x2": False, "x3": False}
-    peers.tell_list(2, [("x1", "ready", 0)])
+    peers.notify_list(2, [("x1", "ready", 0)])
     assert not peers.proxy.controller.exchange_by_number[1].ready  # stale
 
 
 def test_the_same_start_time_notified_twice_is_one_start(peers):
-    peers.tell_list(1, [("x1", "ready", 1_000_001.5)], "full")
+    peers.notify_list(1, [("x1", "ready", 1_000_001.5)], "full")
     exchange = peers.proxy.controller.exchange_by_number[1]
     first = exchange.started
-    peers.pass_time(30_000)
-    peers.tell_list(2, [("x1", "ready", 1_000_001.5)])
+    peers.advance_to(30_000)
+    peers.notify_list(2, [("x1", "ready", 1_000_001.5)])
     assert exchange.started == first > 0
-    peers.tell_list(3, [("x1", "ready", 1_000_002.75)])
+    peers.notify_list(3, [("x1", "ready", 1_000_002.75)])
     assert exchange.started > first
 
 
 def test_a_new_machine_of_an_exchange_gets_the_exchanges_trunk_group(peers):
-    peers.tell_list(1, [("x1", "ready", 0), ("x2", "ready", 0), ("x0", "ready", 0)], "full")
+    peers.notify_list(1, [("x1", "ready", 0), ("x2", "ready", 0), ("x0", "ready", 0)], "full")
     peers.notify(
         "exchange-list",
         {
@@ -149,9 +149,9 @@
 
 
 def test_a_restart_of_the_own_exchange_renews_the_group_subscription(peers):
-    peers.tell_list(1, [("x0", "ready", 0)], "full")
+    peers.notify_list(1, [("x0", "ready", 0)], "full")
     peers.new_messages()
-    peers.tell_list(2, [("x0", "ready", 1_000_000.0)])
+    peers.notify_list(2, [("x0", "ready", 1_000_000.0)])
     assert [m.get("Event") for m in peers.new_messages("SUBSCRIBE")] == ["trunk-groups"]
 
 
@@ -171,14 +171,14 @@
         ("Event", "exchange-list"),
         ("Subscription-State", "active"),
     ]
-    peers.come(message)
+    peers.deliver(message)
     assert [m.status for m in peers.new_messages(port=9000)] == [400 if body else 200]
     assert peers.proxy.controller.exchange_by_number == before
 
 
 def test_the_list_is_subscribed_to_again_after_it_became_silent(peers):
-    peers.tell_list(1, [("x0", "ready", 0), ("x1", "ready", 0)], "full")
-    peers.pass_time(100 * SECOND)
+    peers.notify_list(1, [("x0", "ready", 0), ("x1", "ready", 0)], "full")
+    peers.advance_to(100 * SECOND)
     lists = [m for m in peers.all_messages("SUBSCRIBE") if m.get("Event") == "exchange-list"]
     assert len({m.call_id for m in lists}) > 2
     assert peers.proxy.controller.exchange_by_number[1].ready  # the last known list stays in use
@@ -302,9 +302,9 @@
     from conftest import EDGE
 
     peers = make_peers(EDGE.replace("(tell-peers false)", ""))
-    peers.tell_list(1, [("x0", "ready", 0), ("x1", "gone", 0), ("x2", "ready", 0), ("x3", "ready", 0)], "full")
+    peers.notify_list(1, [("x0", "ready", 0), ("x1", "gone", 0), ("x2", "ready", 0), ("x3", "ready", 0)], "full")
     peers.read_count = len(peers.sent)
-    peers.pass_time(20_000)
+    peers.advance_to(20_000)
     assert {hop.port for m, hop in peers.sent[peers.read_count :] if m.method == "MESSAGE"} == {7102, 7103}
     peers.new_messages()
     message = Message("MESSAGE", "sip:proxy@127.0.0.1:7000", body=b"\0\2\x0e\x0e")
@@ -315,5 +315,5 @@
         ("Call-ID", "m"),
         ("CSeq", "1 MESSAGE"),
     ]
-    peers.come(message)
+    peers.deliver(message)
     assert peers.proxy.controller.exchange_by_number[2].reachable == (0x0E, 0x0E)
--- a/tests/test_edge_proxy.py
+++ b/tests/test_edge_proxy.py
@@ -19,9 +19,9 @@
     assert peers.final_statuses(invite.call_id) == [200]
     (call,) = peers.proxy.calls.values()
     assert call.established and peers.proxy.open_dialogs == 0
-    peers.within("ACK", invite.call_id, number=1)
+    peers.send_in_dialog("ACK", invite.call_id, number=1)
     assert peers.all_messages("ACK", port=7101)
-    bye = peers.within("BYE", invite.call_id)
+    bye = peers.send_in_dialog("BYE", invite.call_id)
     (forwarded,) = peers.all_messages("BYE", port=7101)
     assert forwarded.call_id == bye.call_id and not forwarded.has("Route")
     peers.answer((forwarded, Hop("UDP", "127.0.0.1", 7101)), 200, contact=False)
@@ -31,11 +31,11 @@
 
 def test_an_invite_retransmitted_after_the_time_out_gets_the_same_response_and_no_leg(peers):
     invite = peers.invite(expires=1)
-    peers.pass_time(12_000)
+    peers.advance_to(12_000)
     assert peers.final_statuses(invite.call_id)[0] == 408
     legs = len(peers.legs(invite.call_id))
     before = len(peers.final_statuses(invite.call_id))
-    peers.come(invite)
+    peers.deliver(invite)
     assert peers.final_statuses(invite.call_id)[before:] == [408]
     assert len(peers.legs(invite.call_id)) == legs
     answers = [m for m in peers.all_messages(status=408) if m.call_id == invite.call_id]
@@ -45,17 +45,17 @@
 def test_the_final_response_is_sent_before_the_invite_expires(peers):
     invite = peers.invite(expires=2)
     peers.answer(peers.legs(invite.call_id)[0], 100)
-    peers.pass_time(20_000)
+    peers.advance_to(20_000)
     assert peers.final_statuses(invite.call_id)[0] == 408
     assert peers.all_messages("CANCEL", port=7101)  # the pending leg is cancelled
 
 
 def test_a_cancel_after_the_200_has_no_effect(peers):
-    invite, leg = peers.standing()
+    invite, leg = peers.establish_dialog()
     peers.cancel(invite)
     assert peers.final_statuses(invite.call_id) == [200]
     assert not peers.all_messages("CANCEL") and not peers.all_messages("BYE")
-    peers.within("BYE", invite.call_id)
+    peers.send_in_dialog("BYE", invite.call_id)
     assert not peers.proxy.calls
 
 
@@ -94,7 +94,7 @@
     peers.cancel(invite)
     assert not peers.all_messages("CANCEL", port=7101)
     sent = len(peers.sent)
-    peers.pass_time(30_000)
+    peers.advance_to(30_000)
     assert not [m for m, hop in peers.sent[sent:] if m.method == "INVITE"]  # and is not retransmitted
     peers.answer(leg, 100)
     assert len(peers.all_messages("CANCEL", port=7101)) == 1
@@ -103,7 +103,7 @@
 def test_a_late_200_of_an_abandoned_leg_is_not_forwarded_to_the_caller(peers):
     invite = peers.invite(expires=1)
     leg = peers.legs(invite.call_id)[0]
-    peers.pass_time(12_000)
+    peers.advance_to(12_000)
     answered = list(peers.final_statuses(invite.call_id))
     peers.answer(leg, 200)
     assert peers.final_statuses(invite.call_id) == answered
@@ -119,14 +119,14 @@
 
 
 def test_a_200_retransmitted_because_its_ack_was_lost_is_forwarded_again(peers):
-    invite, leg = peers.standing()
+    invite, leg = peers.establish_dialog()
     peers.answer(leg, 200)
     assert peers.final_statuses(invite.call_id) == [200, 200]
     assert not peers.all_messages("BYE")
 
 
 def test_a_second_fork_that_answers_is_released_and_the_first_is_kept(peers):
-    invite, leg = peers.standing()
+    invite, leg = peers.establish_dialog()
     peers.answer(leg, 200, tag="other")
     assert peers.final_statuses(invite.call_id) == [200]
     (bye,) = peers.all_messages("BYE", port=7101)
@@ -135,27 +135,27 @@
 
 
 def test_byes_from_both_sides_end_the_dialog_once(peers):
-    invite, _ = peers.standing()
+    invite, _ = peers.establish_dialog()
     ended = []
     leg_ended = peers.proxy.controller.leg_ended
     peers.proxy.controller.leg_ended = lambda *args: (ended.append(args[3]), leg_ended(*args))
-    peers.within("BYE", invite.call_id)
-    peers.within("BYE", invite.call_id, by_caller=False)
+    peers.send_in_dialog("BYE", invite.call_id)
+    peers.send_in_dialog("BYE", invite.call_id, by_caller=False)
     assert ended == [LegEnd.ENDED]
     assert len(peers.all_messages("BYE", port=7101)) == 1 and len(peers.all_messages("BYE", port=9000)) == 1
 
 
 def test_a_bye_with_a_failure_cause_reports_a_cut_dialog(peers):
-    invite, _ = peers.standing()
+    invite, _ = peers.establish_dialog()
     ended = []
     leg_ended = peers.proxy.controller.leg_ended
     peers.proxy.controller.leg_ended = lambda *args: (ended.append((args[3], args[5])), leg_ended(*args))
-    peers.within("BYE", invite.call_id, by_caller=False, fields=[("Reason", "Q.850;cause=38")])
+    peers.send_in_dialog("BYE", invite.call_id, by_caller=False, fields=[("Reason", "Q.850;cause=38")])
     assert ended == [(LegEnd.CUT, True)]
 
 
 def test_a_request_in_a_dialog_from_before_a_restart_is_forwarded(peers):
-    peers.within("BYE", "unknown-here")
+    peers.send_in_dialog("BYE", "unknown-here")
     assert len(peers.all_messages("BYE", port=7101)) == 1
 
 
@@ -211,9 +211,9 @@
     invite, leg, hop = leg_over_tcp(peers)
     peers.answer((leg, hop), 100)
     peers.proxy.hop_failed(peers.now, Hop("TCP", "127.0.0.1", 7101, 5), True)
-    peers.pass_time(1_950)
+    peers.advance_to(1_950)
     assert len(peers.legs(invite.call_id)) == 1
-    peers.pass_time(2_600)
+    peers.advance_to(2_600)
     assert len(peers.legs(invite.call_id)) == 2
 
 
@@ -222,11 +222,11 @@
 def test_the_release_guard_restarts_when_the_connection_of_an_abandoned_leg_is_reset(peers):
     invite, _, _ = leg_over_tcp(peers)
     peers.proxy.cancel_leg(next(iter(peers.proxy.calls)), 0)
-    peers.pass_time(1_500)
+    peers.advance_to(1_500)
     peers.proxy.hop_failed(peers.now, Hop("TCP", "127.0.0.1", 7101, 5), True)
-    peers.pass_time(3_450)
+    peers.advance_to(3_450)
     assert len(peers.legs(invite.call_id)) == 1
-    peers.pass_time(4_100)
+    peers.advance_to(4_100)
     assert len(peers.legs(invite.call_id)) == 2
 
 
@@ -235,7 +235,7 @@
     peers.proxy.hop_failed(peers.now, Hop("UDP", "127.0.0.1", 7101), False)
     assert peers.proxy.counts["legs ended unreachable"] == 1
     assert len(peers.legs(invite.call_id)) == 1  # and it is not tried again at once
-    peers.pass_time(32_000)
+    peers.advance_to(32_000)
     assert set(peers.final_statuses(invite.call_id)) == {503}
 
 
@@ -245,7 +245,7 @@
     assert hop.port == 7101 and "transit" not in leg.get("Gingergap-Dialog")
     peers.answer((leg, hop), 503, fields=[("Reason", "Q.850;cause=42")])
     while len(peers.final_statuses(invite.call_id)) == 0 and peers.now < 20_000:
-        peers.pass_time(peers.now + 500)
+        peers.advance_to(peers.now + 500)
         for again in peers.legs(invite.call_id)[1:]:
             peers.answer(again, 503, fields=[("Reason", "Q.850;cause=42")])
     (final,) = [m for m, h in peers.sent if m.status == 503 and h.port == 9000]
@@ -253,7 +253,7 @@
 
 
 def test_a_dialog_in_transit_declined_for_lack_of_circuits_has_its_own_cause(peers):
-    peers.tell_groups({1: 0, 2: 20, 3: 20})
+    peers.notify_groups({1: 0, 2: 20, 3: 20})
     peers.invite(fields=[("Gingergap-Dialog", "transit;time-left=1500")])
     (final,) = [m for m, h in peers.sent if m.status == 503 and h.port == 9000]
     assert q850_cause_of(final) == (21, "TN") and not final.has("Retry-After")
@@ -309,7 +309,7 @@
     message.put("Call-ID", "bad")
     message.put("Via", "SIP/2.0/UDP 127.0.0.1:9000;branch=z9hG4bKbad")
     change(message)
-    peers.come(message)
+    peers.deliver(message)
     assert [m.status for m in peers.new_messages(port=9000)] == [status]
     assert len(peers.proxy.calls) == calls_before and not peers.legs("bad")
 
@@ -317,7 +317,7 @@
 def test_a_request_without_via_is_dropped(peers):
     message = Message("INVITE", "sip:001@127.0.0.1:7000")
     message.fields = [("From", "<sip:a>;tag=1"), ("To", "<sip:b>"), ("Call-ID", "x"), ("CSeq", "1 INVITE")]
-    peers.come(message)
+    peers.deliver(message)
     assert not peers.new_messages() and not peers.proxy.calls
 
 
@@ -328,7 +328,7 @@
     assert rejected and peers.proxy.open_dialogs <= 50
     legs = peers.proxy.counts["legs"]
     for invite in invites:
-        peers.come(invite)
+        peers.deliver(invite)
     assert peers.proxy.counts["legs"] == legs
     assert peers.proxy.open_dialogs <= 50
 
@@ -345,16 +345,16 @@
 
 
 def test_a_draining_proxy_rejects_new_dialogs_and_lets_established_ones_finish(peers):
-    invite, _ = peers.standing()
+    invite, _ = peers.establish_dialog()
     peers.proxy.admission.draining = True
     late = peers.invite()
     assert peers.final_statuses(late.call_id) == [503]
-    peers.within("BYE", invite.call_id)
+    peers.send_in_dialog("BYE", invite.call_id)
     assert not peers.proxy.calls
 
 
 def test_a_width_of_two_circuits_comes_from_resource_priority(peers):
-    peers.tell_groups({1: 1, 2: 0, 3: 0})
+    peers.notify_groups({1: 1, 2: 0, 3: 0})
     wide = peers.invite(fields=[("Resource-Priority", "q735.2")])
     narrow = peers.invite()
     assert not peers.legs(wide.call_id) or peers.proxy.calls[0].width == 2
@@ -384,7 +384,7 @@
             ("Call-ID", "odd"),
             ("CSeq", f"2 {method}"),
         ]
-        peers.come(message)
+        peers.deliver(message)
     assert [m.status for m in peers.new_messages()] == [400]
     assert not [key for key in peers.proxy.transactions.clients if key[1] == "BYE"]
 
@@ -395,12 +395,12 @@
         legs = peers.legs(invite.call_id)
         if number % 4 == 0 and legs:
             peers.answer(legs[0], 200)
-            peers.within("BYE", invite.call_id)
+            peers.send_in_dialog("BYE", invite.call_id)
         elif number % 4 == 1 and legs:
             peers.answer(legs[0], 486)
         elif number % 4 == 2:
             peers.cancel(invite)
-    peers.pass_time(1_000_000)
+    peers.advance_to(1_000_000)
     proxy = peers.proxy
     assert not proxy.calls and not proxy.calls_by_key and not proxy.controller.dialogs and not proxy.released_answers
     assert not [key for key in proxy.transactions.servers if key[2] == "INVITE"]
--- a/tests/test_restart_state.py
+++ b/tests/test_restart_state.py
@@ -453,10 +453,10 @@
 
 def test_a_restored_dialog_is_ended_by_the_callers_bye(tmp_path):
     peers = Restarted(tmp_path)
-    invite, leg = peers.standing()
+    invite, leg = peers.establish_dialog()
     restarted = peers.kill_and_restart()
     assert restarted.proxy.counts["remembered"] == 1
-    restarted.within("BYE", invite.call_id)
+    restarted.send_in_dialog("BYE", invite.call_id)
     assert [message.method for message in restarted.new_messages("BYE", port=7101)] == ["BYE"]
     assert restarted.proxy.calls == {}
     third = restarted.kill_and_restart()
@@ -465,15 +465,15 @@
 
 def test_a_restored_dialog_is_ended_by_the_destinations_bye(tmp_path):
     peers = Restarted(tmp_path)
-    invite, leg = peers.standing()
+    invite, leg = peers.establish_dialog()
     restarted = peers.kill_and_restart()
-    restarted.within("BYE", invite.call_id, by_caller=False)
+    restarted.send_in_dialog("BYE", invite.call_id, by_caller=False)
     assert restarted.new_messages("BYE", port=9000) and restarted.proxy.calls == {}
 
 
 def test_a_retransmitted_answer_after_a_restart_is_forwarded_and_ends_nothing(tmp_path):
     peers = Restarted(tmp_path)
-    invite, leg = peers.standing()
+    invite, leg = peers.establish_dialog()
     restarted = peers.kill_and_restart()
     restarted.answer(leg, 200)
     forwarded = [(message, hop) for message, hop in restarted.sent if message.status == 200 and message.cseq()[1] == "INVITE"]
@@ -495,20 +495,20 @@
 
 def test_the_exchange_list_is_restored(tmp_path):
     peers = Restarted(tmp_path)
-    peers.tell_list(1, [("x0", "ready", 0), ("x1", "gone", 0), ("x2", "draining", 0), ("x3", "ready", 0)], "full")
+    peers.notify_list(1, [("x0", "ready", 0), ("x1", "gone", 0), ("x2", "draining", 0), ("x3", "ready", 0)], "full")
     restarted = peers.kill_and_restart()
-    restarted.tell_groups({1: 20, 2: 20, 3: 20})
+    restarted.notify_groups({1: 20, 2: 20, 3: 20})
     for destination in (1, 2, 3):
         invite = restarted.invite(f"00{destination}555")
         assert bool(restarted.legs(invite.call_id)) == (destination == 3), destination
-    restarted.tell_list(1, [("x0", "ready", 0), ("x1", "ready", 0), ("x2", "ready", 0), ("x3", "ready", 0)], "full", epoch="f")
+    restarted.notify_list(1, [("x0", "ready", 0), ("x1", "ready", 0), ("x2", "ready", 0), ("x3", "ready", 0)], "full", epoch="f")
     invite = restarted.invite("001777")
     assert restarted.legs(invite.call_id)
 
 
 def test_an_exchange_that_replaced_another_keeps_its_number_after_a_restart(tmp_path):
     peers = Restarted(tmp_path)
-    peers.tell_list(1, [("x0", "ready", 0), ("x1", "gone", 0), ("x2", "ready", 0), ("x3", "ready", 0)], "full")
+    peers.notify_list(1, [("x0", "ready", 0), ("x1", "gone", 0), ("x2", "ready", 0), ("x3", "ready", 0)], "full")
     peers.notify(
         "exchange-list",
         {
@@ -519,7 +519,7 @@
         },
     )
     restarted = peers.kill_and_restart(after=20)
-    restarted.tell_groups({1: 20, 2: 20, 3: 20})
+    restarted.notify_groups({1: 20, 2: 20, 3: 20})
     invite = restarted.invite("001555")
     assert [hop.port for _, hop in restarted.legs(invite.call_id)] == [7999]
 
@@ -527,12 +527,12 @@
 def test_restored_dialogs_that_the_switch_does_not_count_are_ended(tmp_path):
     peers = Restarted(tmp_path)
     for number in range(3):
-        peers.standing(f"00155{number}")
+        peers.establish_dialog(f"00155{number}")
     restarted = peers.kill_and_restart()  # reports the groups once, with all circuits free
     assert len(restarted.proxy.calls) == 3
-    restarted.tell_groups({1: 19, 2: 20, 3: 20})
+    restarted.notify_groups({1: 19, 2: 20, 3: 20})
     assert len(restarted.proxy.calls) == 1 and restarted.proxy.counts["remembered dialogs that were over"] == 2
-    restarted.tell_groups({1: 20, 2: 20, 3: 20})
+    restarted.notify_groups({1: 20, 2: 20, 3: 20})
     assert restarted.proxy.calls == {}
 
 
@@ -540,7 +540,7 @@
     peers = Restarted(tmp_path)
     invite = peers.invite("002555")
     leg = peers.legs(invite.call_id)[0]
-    peers.pass_time(peers.now + 4_000)
+    peers.advance_to(peers.now + 4_000)
     peers.answer(leg, 200)
     slow = peers.proxy.controller.exchanges[peers.proxy.gw_by_id["x2"]]
     assert slow.recent_setup > 0
@@ -551,8 +551,8 @@
 
 
 def test_a_proxy_without_a_store_works(peers):
-    invite, leg = peers.standing()
-    peers.within("BYE", invite.call_id)
+    invite, leg = peers.establish_dialog()
+    peers.send_in_dialog("BYE", invite.call_id)
     assert peers.proxy.calls == {} and peers.proxy.memory is None
     assert tag(invite) == "" and structlog.get_logger() is not None
 
--- a/tests/test_spans.py
+++ b/tests/test_spans.py
@@ -211,7 +211,7 @@
 
 def test_a_leg_over_a_tandem_and_its_answer_are_noted_under_its_branch(recorded_peers):
     peers, buffer = recorded_peers
-    peers.tell_groups({1: 0, 2: 20, 3: 20})
+    peers.notify_groups({1: 0, 2: 20, 3: 20})
     invite = peers.invite("001555")
     (leg,) = peers.legs(invite.call_id)
     leg_id = message_id(top_via(leg[0]).branch)
@@ -226,7 +226,7 @@
 def test_a_dialog_in_transit_and_its_answer_are_noted_under_the_incoming_branch(recorded_peers):
     peers, buffer = recorded_peers
     for number, free in ((1, 20), (2, 0)):
-        peers.tell_groups({1: free, 2: 20, 3: 20})
+        peers.notify_groups({1: free, 2: 20, 3: 20})
         call = f"transit{number}"
         fields = [("Via", f"SIP/2.0/UDP 127.0.0.1:6999;branch=z9hG4bKfar{number}"), ("Gingergap-Dialog", "transit;time-left=3000")]
         peers.invite("001555", call=call, fields=fields)
@@ -254,7 +254,7 @@
         ("CSeq", "1 MESSAGE"),
         ("Max-Forwards", "9"),
     ]
-    peers.come(message, Hop("UDP", "127.0.0.1", 7100))
+    peers.deliver(message, Hop("UDP", "127.0.0.1", 7100))
     assert notes_named(buffer, "received") == [[0, message_id("word1"), -1]]
     peers.proxy.send_to_peers(b"\0\1\2\3")
     sent_ids = {message_id(message.call_id) for message in peers.all_messages("MESSAGE")}
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -41,14 +41,14 @@
         legs = peers.legs(invite.call_id)
         if legs and number % 4 == 0:
             peers.answer(legs[0], 200)
-            peers.within("BYE", invite.call_id)
+            peers.send_in_dialog("BYE", invite.call_id)
         elif legs and number % 4 == 1:
             peers.answer(legs[0], 503, fields=[("Reason", "Q.850;cause=34")])
         elif number % 4 == 2:
             peers.cancel(invite)
-        peers.pass_time(peers.now + 400)
-    peers.tell_list(1, [("x0", "ready", 0), ("x1", "draining", 0), ("x2", "ready", 0)], "full")
-    peers.pass_time(peers.now + 30_000)
+        peers.advance_to(peers.now + 400)
+    peers.notify_list(1, [("x0", "ready", 0), ("x1", "draining", 0), ("x2", "ready", 0)], "full")
+    peers.advance_to(peers.now + 30_000)
     return buffer, Header(FORMAT, module_digest(), "e1", "p0", 0.0, 0, peers.proxy.controller_arguments)
 
 
