--- a/gingergap/cli/main.py
+++ b/gingergap/cli/main.py
@@ -26,7 +26,7 @@
     try:
         return read(path, **kinds)
     except BadSettingsError as bad:
-        _fail(bad.faults)
+        _fail(bad.errors)
 
 
 @click.group()
@@ -224,7 +224,7 @@
     except BadDayFileError as bad:
         _fail([f"{file}: {bad}"])
     except BadSettingsError as bad:
-        _fail([f"{file}: {fault}" for fault in bad.faults])
+        _fail([f"{file}: {fault}" for fault in bad.errors])
     for line in left:
         click.echo(f"left out: {line}", err=True)
     click.echo(text)
--- a/gingergap/settings/__init__.py
+++ b/gingergap/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings files: S-expressions read with a library, checked with a library, faults told one line each."""
+"""Settings files: S-expressions, parsed and validated against pydantic models, with one line for each error."""
--- a/gingergap/settings/day.py
+++ b/gingergap/settings/day.py
@@ -1,4 +1,4 @@
-"""A scripted day: `(day ...)`, the network, its callers and what goes wrong when. Played by the stand-ins."""
+"""Settings of a scripted day, `(day ...)`: the network, its callers and the faults to inject. Stand-ins and emulator run it."""
 
 from typing import Annotated, Literal, Self
 
@@ -10,7 +10,7 @@
 Share = Annotated[float, Field(ge=0, le=1)]
 Seconds = Annotated[float, Field(ge=0, le=86_400)]
 
-KINDS = (
+FAULT_KINDS = (
     "burst",
     "flood",
     "slow",
@@ -39,11 +39,15 @@
     "delay",
 )
 
-CHANCES = ("answers-lost", "messages-lost", "loss", "duplication", "reordering")
+PROBABILITY_KINDS = ("answers-lost", "messages-lost", "loss", "duplication", "reordering")
 
 
 class DayTypeForm(TrafficTypeForm):
-    """A traffic type with its part of the dialogs and how long they last on average."""
+    """A traffic type as callers offer it.
+
+    `share` is its share of all dialogs, `hold_s` their mean duration, and `patience_s` the time that a caller waits for
+    a final answer.
+    """
 
     share: Share = 1.0
     hold_s: Annotated[float, Field(gt=0)] = 3.0
@@ -51,7 +55,8 @@
 
 
 class GroupsForm(Form):
-    """Circuits of a pair of exchanges: a mean, how unequal they are, the part of the pairs without any."""
+    """Trunk group sizes: the mean number of circuits between two exchanges, the relative spread around the mean, and the
+    share of the pairs without a trunk group."""
 
     mean: Count = 24
     spread: Share = 0.3
@@ -59,7 +64,11 @@
 
 
 class ProcessorForm(Form):
-    """Work of an exchange's one processor line, in ms when warm and well."""
+    """Processing times of an exchange, which serves one message at a time, at its full speed.
+
+    A set-up is declined when its expected wait exceeds `turn_away_after_ms`. `lines_busy` is the share of set-ups whose
+    called line is busy.
+    """
 
     setup_ms: Milliseconds = 14
     transit_ms: Milliseconds = 7
@@ -71,7 +80,11 @@
 
 
 class CallersForm(Form):
-    """What callers do: `impatient` of them hang up before they need to, `tcp` of the workshops call over TCP."""
+    """How callers behave.
+
+    `redials` is the maximum number of redials, `backoff_ms` the mean wait before one, `honour` the share of callers that
+    obey Retry-After, `impatient` the share that hang up before their time is up, and `tcp` the share that call over TCP.
+    """
 
     redials: Annotated[int, Field(ge=0)] = 3
     backoff_ms: Milliseconds = 800
@@ -82,7 +95,8 @@
 
 
 class ListForm(Form):
-    """How late the exchange list tells; `partial` of its pushes are changes only."""
+    """Delay with which the exchange list reports a stopped exchange (`notice_ms` after an orderly stop, `silent_notice_ms`
+    after a crash) and a started one (`add_ms`)."""
 
     notice_ms: Milliseconds = 500
     silent_notice_ms: Milliseconds = 1_500
@@ -90,10 +104,13 @@
 
 
 class FaultForm(Form):
-    """One trouble. `share` is of the exchanges (or proxies) it strikes, or of the dialogs (`cut`); `factor` what its
-    kind multiplies, or the part of the messages that it strikes."""
+    """A fault to inject, from `at` for `lasts` seconds.
 
-    kind: Literal[KINDS]  # type: ignore[valid-type]
+    `share` is the share of the exchanges or proxies that it affects, or of the dialogs (`cut`). `factor` is what its kind
+    multiplies, or the share of the messages that it affects (kinds in PROBABILITY_KINDS).
+    """
+
+    kind: Literal[FAULT_KINDS]  # type: ignore[valid-type]
     at: Seconds
     lasts: Seconds = 0
     share: Share = 0.25
@@ -104,7 +121,7 @@
 
 
 class DayForm(Form):
-    """A day of the stand-ins; `rate` is first tries a second at each exchange."""
+    """A scripted day of `seconds`. `rate` is the number of new calls per second and exchange, without redials."""
 
     name: str
     seconds: Annotated[float, Field(gt=0, le=3_600)]
@@ -126,48 +143,52 @@
     longest_hold_off_ms: Milliseconds = 2_000
     tell_peers: bool = True
     coordination: bool = False
-    store: bool = False  # proxies remember over their restarts
-    capture: bool = True  # without it nothing is judged from the traffic: for days too long to be kept
+    store: bool = False  # proxies keep their state over restarts
+    capture: bool = True  # off for days too long to store the traffic; then no rule is checked
     fault: list[FaultForm] = []
 
     @model_validator(mode="after")
-    def _whole(self) -> Self:
+    def _check_consistency(self) -> Self:
         if not self.traffic_type:
             raise ValueError("a traffic-type is missing")
         names = [entry.name for entry in self.traffic_type]
         for name in names:
             if names.count(name) > 1:
-                raise ValueError(f"traffic-type {name!r} stands twice")
+                raise ValueError(f"traffic-type {name!r} is given twice")
         total = sum(entry.share for entry in self.traffic_type)
         if abs(total - 1) > 0.001:
             raise ValueError(f"the shares of the traffic types add up to {total:g}, not 1")
-        for place, entry in enumerate(self.traffic_type):
-            if place and not entry.resource_priority:
-                raise ValueError(f"traffic-type {entry.name!r} needs a resource-priority to be told apart")
-        for place, fault in enumerate(self.fault):
+        for index, entry in enumerate(self.traffic_type):
+            if index and not entry.resource_priority:
+                raise ValueError(f"traffic-type {entry.name!r} needs a resource-priority: only the first may have none")
+        for index, fault in enumerate(self.fault):
             if fault.at + fault.lasts > self.seconds:
-                raise ValueError(f"fault[{place}] ({fault.kind}) ends after the day does")
-            if fault.kind in CHANCES and fault.factor > 1:
-                raise ValueError(f"fault[{place}] ({fault.kind}): factor is a part of the messages, 1 at most")
+                raise ValueError(f"fault[{index}] ({fault.kind}) ends after the day")
+            if fault.kind in PROBABILITY_KINDS and fault.factor > 1:
+                raise ValueError(f"fault[{index}] ({fault.kind}): factor is a share of the messages, 1 at most")
             if fault.kind == "split-proxies" and not self.coordination:
-                raise ValueError(f"fault[{place}] (split-proxies): needs (coordination true)")
+                raise ValueError(f"fault[{index}] (split-proxies): needs (coordination true)")
             if not fault.lasts and fault.kind != "cut":
-                raise ValueError(f"fault[{place}] ({fault.kind}): lasts is missing")
+                raise ValueError(f"fault[{index}] ({fault.kind}): lasts is missing")
         return self
 
 
 class PlacesForm(Form):
-    """Where everybody on a day is: by exchange number, and the list."""
+    """Addresses of all processes of a day, host:port, in the order of the exchange numbers."""
 
     proxy: list[str]
-    exchange: list[str]  # two addresses for each number, one after the other
-    member: list[str] = []  # where each proxy's coordination listens
+    exchange: list[str]  # two consecutive addresses per exchange
+    member: list[str] = []  # UDP address of each proxy's coordination
     callers: list[str]
     exchange_list: str
 
 
 class StandinForm(Form):
-    """What one stand-in process is told: the day, who it is on it, and when (monotonic seconds) the day begins."""
+    """Settings of one stand-in process, `(standin ...)`.
+
+    `day` is the path of the day's file, `number` the exchange number that the process belongs to, `epoch` the start of
+    the day in seconds of the monotonic clock, and `report` the path for its results.
+    """
 
     day: str
     number: Annotated[int, Field(ge=0)] = 0
--- a/gingergap/settings/edge.py
+++ b/gingergap/settings/edge.py
@@ -1,4 +1,4 @@
-"""What one signalling proxy is told at start: `(edge ...)`."""
+"""Settings of a signalling proxy, `(edge ...)`."""
 
 from typing import Annotated, Self
 
@@ -9,7 +9,7 @@
 from .forms import Form
 
 
-def _address(text: str) -> str:
+def _check_address(text: str) -> str:
     try:
         host, port = parse_host_port(text, 0)
     except BadMessageError:
@@ -19,14 +19,17 @@
     return text
 
 
-Address = Annotated[str, AfterValidator(_address)]
+Address = Annotated[str, AfterValidator(_check_address)]
 Milliseconds = Annotated[float, Field(gt=0, le=3_600_000)]
 Count = Annotated[int, Field(gt=0)]
 
 
 class TrafficTypeForm(Form):
-    """One traffic type. `resource_priority` lists the RFC 4412 values that mean it; the first type is what
-    requests without one count as."""
+    """A traffic type.
+
+    `resource_priority` lists the Resource-Priority values (RFC 4412) that select it; requests without one belong to the
+    first type.
+    """
 
     name: str
     resource_priority: list[str] = []
@@ -39,7 +42,7 @@
 
 
 class ExchangeForm(Form):
-    """An exchange: its place among them, where it is until the list tells, and the numbers it serves."""
+    """An exchange: its number, its address until the exchange list reports one, and the prefixes that it serves."""
 
     number: Annotated[int, Field(ge=0, lt=1000)]
     id: str
@@ -48,7 +51,11 @@
 
 
 class ColdForm(Form):
-    """What is agreed of exchanges that have just started."""
+    """The agreed model of an exchange that has just started.
+
+    It begins at `from_share` of its speed and reaches full speed after `warm_after_ms`. It must not get more than
+    `multiple` times the set-ups that it can serve, counted over `span_ms`.
+    """
 
     from_share: Annotated[float, Field(gt=0, le=1)] = 0.35
     warm_after_ms: Milliseconds = 14_000
@@ -57,7 +64,7 @@
 
 
 class BoundsForm(Form):
-    """How much of everything may be open at once."""
+    """Upper limits of what a proxy may have open at once."""
 
     dialogs: Count = 20_000
     transactions: Count = 200_000
@@ -66,7 +73,7 @@
 
 
 class MemberForm(Form):
-    """A proxy that may coordinate: its name, where datagrams for it go, and where it binds if that is elsewhere."""
+    """A member of the cluster of proxies: its name, its UDP address, and the address to bind if that differs."""
 
     name: str
     address: Address
@@ -74,7 +81,7 @@
 
 
 class CoordinationForm(Form):
-    """Shared periodic duties. `key` is shared by all members; `member` lists every one of them, this one too."""
+    """Shared periodic duties. `key` is the secret of all members; `member` lists all of them, including this one."""
 
     key: Annotated[str, Field(min_length=16)]
     member: list[MemberForm]
@@ -86,9 +93,12 @@
 
 
 class TraceForm(Form):
-    """Where the trace of a proxy goes, how large or old a part becomes, how much all parts may take, and whether it is
-    recorded from the start on. With `spans_slower_ms`, dialogs that took longer, or did not stand, are written as spans;
-    with `metrics` dialogs and legs are counted for the control socket."""
+    """Trace files of a proxy: their folder, the maximum size and age of a part, the disk budget of all parts, and whether
+    recording begins at the start.
+
+    With `spans_slower_ms`, dialogs with a longer set-up and those that failed are written as spans. With `metrics`, dialogs
+    and legs are counted for the control socket.
+    """
 
     folder: str
     part_mb: Annotated[float, Field(gt=0)] = 16
@@ -99,15 +109,18 @@
     metrics: bool = False
 
     @model_validator(mode="after")
-    def _room(self) -> Self:
+    def _check_budget(self) -> Self:
         if self.budget_mb < 2 * self.part_mb:
             raise ValueError("budget-mb is less than two parts of part-mb each")
         return self
 
 
 class StoreForm(Form):
-    """What is kept over restarts: where, how often changes are written and what was learned is looked through, how long the
-    list's word on an exchange counts at a start, and of how many callers something is kept."""
+    """State that a proxy keeps over restarts.
+
+    Changes are written every `every_ms`, learned values are collected every `learn_every_ms`. At a start, stored
+    entries of the exchange list are used up to an age of `word_lasts_s`. `most_callers` limits the number of stored callers.
+    """
 
     folder: str
     every_ms: Milliseconds = 100
@@ -117,7 +130,11 @@
 
 
 class EdgeForm(Form):
-    """A signalling proxy. The seed starts the module's chance; the rest is said in docs/edge.md."""
+    """A signalling proxy; docs/edge.md describes every field.
+
+    `here` is the number of the proxy's own exchange, `seed` that of the controller's random generator, and `control` the
+    path of the control socket.
+    """
 
     name: str
     listen: Address
@@ -145,26 +162,26 @@
     log_level: str = "info"
 
     @model_validator(mode="after")
-    def _whole(self) -> Self:
+    def _check_consistency(self) -> Self:
         if not self.traffic_type:
             raise ValueError("a traffic-type is missing")
-        for what, values in (
+        for description, values in (
             ("exchange number", [entry.number for entry in self.exchange]),
             ("exchange id", [entry.id for entry in self.exchange]),
             ("traffic-type name", [entry.name for entry in self.traffic_type]),
-            ("prefix", [p for entry in self.exchange for p in entry.prefix]),
-            ("resource-priority", [p for t in self.traffic_type for p in t.resource_priority]),
+            ("prefix", [prefix for entry in self.exchange for prefix in entry.prefix]),
+            ("resource-priority", [value for entry in self.traffic_type for value in entry.resource_priority]),
         ):
             for value in values:
                 if values.count(value) > 1:
-                    raise ValueError(f"{what} {value!r} stands twice")
+                    raise ValueError(f"{description} {value!r} is given twice")
         if self.here not in [entry.number for entry in self.exchange]:
             raise ValueError(f"here: no exchange has number {self.here}")
         if self.coordination is not None:
             names = [entry.name for entry in self.coordination.member]
             for name in names:
                 if names.count(name) > 1:
-                    raise ValueError(f"coordination: member {name!r} stands twice")
+                    raise ValueError(f"coordination: member {name!r} is given twice")
             if self.name not in names:
                 raise ValueError(f"coordination: {self.name!r} is not among the members")
         if self.log_level not in ("debug", "info", "warning", "error"):
--- a/gingergap/settings/experiment.py
+++ b/gingergap/settings/experiment.py
@@ -1,4 +1,4 @@
-"""An experiment: `(experiment ...)`, which day, which policies, which factors at which levels, how many seeds."""
+"""Settings of an experiment, `(experiment ...)`: the day, the policies, the factors with their levels, the number of seeds."""
 
 from typing import Annotated, Self
 
@@ -11,14 +11,15 @@
 
 
 class ChangeForm(Form):
-    """A piece of the module's text and what stands in its place; the piece must be there once."""
+    """A replacement in the source of the decision module: `old`, which must occur exactly once, becomes `new`."""
 
     old: str
     new: str
 
 
 class PolicyForm(Form):
-    """Which decisions: the program's own with changes, a baseline (`base`), or another version from a file (`module`)."""
+    """The source of the decisions: the program's own module with changes, a baseline (`base`), or another version of the
+    module in a file (`module`)."""
 
     name: str
     base: str = "module"
@@ -27,15 +28,18 @@
 
 
 class FactorForm(Form):
-    """A field of the day, by its place (`rate`, `groups.mean`, `fault.0.share`), and the levels that it takes."""
+    """A field of the day, by its path (`rate`, `groups.mean`, `fault.0.share`), and the levels to try."""
 
     field: str
     level: list[Level]
 
 
 class ExperimentForm(Form):
-    """Policies are compared with the first. Seeds go on from `first_seed` in rounds of `round` until each comparison of a cell is
-    clear, or within `tolerance`, or `most_seeds` are done."""
+    """All policies are compared with the first one, by `measure`.
+
+    Seeds are run from `first_seed` upwards in rounds of `round`, until each comparison of a cell is significant at
+    `confidence`, or known to within `tolerance`, or `most_seeds` have been run.
+    """
 
     name: str
     day: str
@@ -49,16 +53,16 @@
     confidence: Annotated[float, Field(gt=0.5, lt=1)] = 0.95
 
     @model_validator(mode="after")
-    def _whole(self) -> Self:
+    def _check_consistency(self) -> Self:
         if not self.policy:
             raise ValueError("a policy is missing")
         names = [policy.name for policy in self.policy]
         for name in names:
             if names.count(name) > 1:
-                raise ValueError(f"policy {name!r} stands twice")
+                raise ValueError(f"policy {name!r} is given twice")
         for factor in self.factor:
             if not factor.level:
                 raise ValueError(f"factor {factor.field!r} has no level")
         if self.round < 3:
-            raise ValueError("a round of fewer than 3 seeds tells nothing of their spread")
+            raise ValueError("a round of fewer than 3 seeds does not show the variance between seeds")
         return self
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -160,7 +160,7 @@
         (
             '(coordination (key "long enough, long") (member (name "p") (address "127.0.0.1:9")) '
             '(member (name "p") (address "127.0.0.1:8")))',
-            "stands twice",
+            "is given twice",
         ),
         ('(coordination (key "long enough, long") (member (name "p") (address "here")))', "coordination.member[0].address"),
     ],
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -40,7 +40,7 @@
         ("edge", ["one form"]),
         ('(edge (nome "a"))', ["edge: nome: no such part"]),
         ("(edge stray)", ["'stray' is no part"]),
-        ('(edge (name "a") (name "b"))', ["name: stands twice"]),
+        ('(edge (name "a") (name "b"))', ["name: is given twice"]),
         ('(edge (name "a" "b"))', ["one value"]),
         (
             '(edge (name "p") (listen "nowhere") (here 5) (exchange (number -1) (id a) (address "1.2.3.4:99999")))',
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -14,7 +14,7 @@
 from gingergap.emulator.streams import Stream
 from gingergap.emulator.theory import erlang_b, erlang_c, md1_wait, reservation_fixed_point, reserved_blocking
 from gingergap.host import GwState, LegEnd
-from gingergap.settings.day import KINDS, DayForm
+from gingergap.settings.day import FAULT_KINDS, DayForm
 from gingergap.settings.forms import parse
 from gingergap.standins.script import Plan
 
@@ -140,7 +140,7 @@
         ("ageing", 8, "(factor 4)"),
         ("delay", 5, "(ms 30)"),
     )
-    if kind in KINDS
+    if kind in FAULT_KINDS
 )
 
 
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -442,4 +442,4 @@
     assert form.trace.folder == "t" and form.trace.budget_mb == 256 and form.trace.recording
     with pytest.raises(BadSettingsError) as error:
         parse_form(EDGE.strip()[:-1] + ' (trace (folder "t") (part-mb 16) (budget-mb 20)))', "f", edge=EdgeForm)
-    assert "budget-mb" in str(error.value.faults)
+    assert "budget-mb" in str(error.value.errors)
