--- a/gingergap/cli/__init__.py
+++ b/gingergap/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The `gingergap` command: sub-commands on click, logs to standard error, tables to standard output."""
+"""The `gingergap` command: sub-commands on click. Logs go to standard error, tables to standard output."""
--- a/gingergap/cli/lines.py
+++ b/gingergap/cli/errors.py
@@ -1,4 +1,4 @@
-"""Commands whose bad input is one plain line and exit 2."""
+"""Commands that report invalid input as a single line on standard error and exit with status 2."""
 
 import sys
 from typing import Any, NoReturn
@@ -11,8 +11,8 @@
     sys.exit(2)
 
 
-class Command(click.Command):
-    """What its work raises on bad input, by any of the packages that commands are on, becomes the line."""
+class SingleLineErrorCommand(click.Command):
+    """Reports the errors that the program's packages raise for invalid input, and OSError, as a single line."""
 
     def invoke(self, ctx: click.Context) -> Any:
         try:
@@ -20,13 +20,13 @@
         except OSError as error:
             fail(f"{error.filename or 'a file'}: {error.strerror or error}")
         except Exception as error:
-            if not isinstance(error, _plain()):
+            if not isinstance(error, _single_line_errors()):
                 raise
             fail(str(error))
 
 
-def _plain() -> tuple[type[Exception], ...]:
-    """Errors that are one plain line already; their packages are loaded only once one of them is raised."""
+def _single_line_errors() -> tuple[type[Exception], ...]:
+    """Errors whose text is a single line. Their packages are imported only after an error, to keep start-up short."""
     from ..store.record_store import BadStoreError
     from ..store.records import BadRecordError
     from ..trace.format import BadTraceError
@@ -35,5 +35,5 @@
     return BadStoreError, BadRecordError, BadTraceError, BadSnapshotError
 
 
-class Group(click.Group):
-    command_class = Command
+class SingleLineErrorGroup(click.Group):
+    command_class = SingleLineErrorCommand
--- a/gingergap/cli/logs.py
+++ b/gingergap/cli/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one line an event on standard error, key=value, by structlog."""
+"""Structured logs on standard error: one logfmt line per event, written by structlog."""
 
 import logging
 import sys
@@ -7,8 +7,8 @@
 import structlog
 
 
-def logger(level: str) -> Any:
-    """A logger that drops what is under `level`."""
+def configure_logging(level: str) -> Any:
+    """Configure structlog and return a logger that drops events below `level`."""
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
--- a/gingergap/cli/main.py
+++ b/gingergap/cli/main.py
@@ -50,12 +50,12 @@
     import gc
 
     from ..edge.serve import EdgeProcess
-    from .logs import logger
+    from .logs import configure_logging
 
     gc.collect()
     gc.freeze()  # what is loaded stays: the collector needn't look at it again
     gc.set_threshold(5_000, 10, 1_000)  # short looks: calls leave no rings behind, and one at all costs tens of ms
-    sys.exit(EdgeProcess(form, logger(form.log_level)).run())
+    sys.exit(EdgeProcess(form, configure_logging(form.log_level)).run())
 
 
 @main.command("serve")
@@ -251,9 +251,9 @@
 @CONTROL
 def members_show(control: str) -> None:
     """Who is there, as one proxy sees it."""
-    from .tables import rows
+    from .tables import print_table
 
-    rows("members", _ask(control, "members"))
+    print_table("members", _ask(control, "members"))
 
 
 @members.command("leave")
@@ -273,10 +273,10 @@
 @CONTROL
 def duties_show(control: str) -> None:
     """Who does what under which counter, when it was last done, what is overdue, and what was learned."""
-    from .tables import rows
+    from .tables import print_table
 
-    rows("duties", _ask(control, "duties"))
-    rows("learned", _ask(control, "learned"))
+    print_table("duties", _ask(control, "duties"))
+    print_table("learned", _ask(control, "learned"))
 
 
 @main.command()
@@ -284,9 +284,9 @@
 @click.option("--every", type=click.FloatRange(0.1, 60), default=1.0, show_default=True, help="Seconds between looks.")
 def watch(control: str, every: float) -> None:
     """Members, duties, far ends and calls a second of one proxy, in the terminal."""
-    from .watch import Watch
+    from .watch import WatchApp
 
-    Watch(control, every).run()
+    WatchApp(control, every).run()
 
 
 @main.command("emulate")
@@ -305,7 +305,7 @@
     from ..emulator.day import Day
     from ..emulator.versions import UnknownPolicyError, maker
     from ..settings.day import DayForm
-    from .tables import rows
+    from .tables import print_table
 
     form = _read(file, day=DayForm)
     if exchanges is not None:
@@ -333,7 +333,7 @@
         for rule, when, why in day.rules.breaches[:5]:
             click.echo(f"seed {seed}: rule {rule} at {when / 10_000:.3f} s: {why}")
     if lines:
-        rows(f"{form.name}, emulated, {policy}", lines)
+        print_table(f"{form.name}, emulated, {policy}", lines)
     sys.exit(0 if kept else 1)
 
 
@@ -374,7 +374,7 @@
 
     from rich.progress import Progress
 
-    from .tables import rows
+    from .tables import print_table
 
     runner = _experiment(file, results)
     with Progress(transient=True) as progress:
@@ -383,7 +383,7 @@
         runner.run(workers or os.cpu_count() or 1)
     from ..experiments.report import table
 
-    rows(runner.form.name, table(runner))
+    print_table(runner.form.name, table(runner))
     sys.exit(_broken(runner))
 
 
@@ -410,11 +410,11 @@
 def experiment_compare(file: Path, results: Path) -> None:
     """Print the comparisons as far as they are known: exit 0, 1 where the program's own module broke a rule."""
     from ..experiments.report import effects, table
-    from .tables import rows
+    from .tables import print_table
 
     runner = _experiment(file, results)
-    rows(runner.form.name, table(runner))
-    rows("what the factors do", effects(runner))
+    print_table(runner.form.name, table(runner))
+    print_table("what the factors do", effects(runner))
     sys.exit(_broken(runner))
 
 
@@ -430,11 +430,11 @@
     from ..experiments.search import BROKEN, searched, shrunk
     from ..settings.day import DayForm
     from ..standins.player import form as written
-    from .tables import rows
+    from .tables import print_table
 
     day = _read(file, day=DayForm)
     found = sorted(searched(day, seed, days, most), key=lambda one: -one.badness)
-    rows(
+    print_table(
         "worst days",
         [
             {
@@ -471,7 +471,7 @@
 def _judge(folder: Path) -> int:
     from ..standins.checker import BadCaptureError, check
     from ..standins.report import offers_in, whole
-    from .tables import day_tables
+    from .tables import print_day_report
 
     try:
         verdict = check(folder / "capture.jsonl")
@@ -479,7 +479,7 @@
     except BadCaptureError as bad:
         _fail([str(bad)])
     (folder / "report.json").write_text(json.dumps(report, indent=1) + "\n")
-    day_tables(report)
+    print_day_report(report)
     return 0 if verdict.kept else 1
 
 
--- a/gingergap/cli/store.py
+++ b/gingergap/cli/store.py
@@ -1,4 +1,7 @@
-"""`gingergap store ...`: what operators do with what a proxy keeps over restarts. The proxy must be down, or use `state`."""
+"""`gingergap store ...`: inspect and move the state that a proxy keeps over restarts.
+
+All commands but `state` need the proxy to be stopped.
+"""
 
 import sys
 from pathlib import Path
@@ -6,111 +9,114 @@
 
 import click
 
-from .lines import Group, fail
+from .errors import SingleLineErrorGroup, fail
 
 FOLDER = click.argument("folder", type=click.Path(path_type=Path))
 
 
-@click.group(cls=Group)
+@click.group(cls=SingleLineErrorGroup)
 def store() -> None:
-    """What a proxy keeps over restarts. FOLDER is the one named in its (store ...) settings."""
+    """State that a proxy keeps over restarts. FOLDER is the folder of its (store ...) settings."""
 
 
-def _book(folder: Path) -> Any:
+def _open_store(folder: Path) -> Any:
     from ..store.record_store import FILE_NAME, RecordStore
 
     if not (folder / FILE_NAME).exists():
-        fail(f"{folder}: no store there")
-    book = RecordStore(folder)
-    for line in book.damage:
+        fail(f"{folder}: no store in this folder")
+    record_store = RecordStore(folder)
+    for line in record_store.damage:
         click.echo(f"damage: {line}")
-    return book
+    return record_store
 
 
 @store.command("info")
 @FOLDER
 def info(folder: Path) -> None:
-    """How many records of each kind, how large, when last written."""
+    """Show the number of records by kind, the size, and when the store was last written."""
     import time
 
     from ..store.records import ALIVE, SCHEMA_VERSION
-    from .tables import rows
+    from .tables import print_table
 
-    book = _book(folder)
-    alive = next((item.body for item in book.items(ALIVE)), None)
-    rows(f"schema {SCHEMA_VERSION}, {book.size()} bytes", [{"kind": kind, "records": many} for kind, many in book.counts().items()])
-    if alive is not None:
-        click.echo(f"written by {alive.instance}, last {time.time() - alive.wall:.1f} s ago by the wall clock")
-    book.close()
+    record_store = _open_store(folder)
+    heartbeat = next((item.body for item in record_store.items(ALIVE)), None)
+    print_table(
+        f"schema {SCHEMA_VERSION}, {record_store.size()} bytes",
+        [{"kind": kind, "records": count} for kind, count in record_store.counts().items()],
+    )
+    if heartbeat is not None:
+        click.echo(f"written by {heartbeat.instance}, last {time.time() - heartbeat.wall:.1f} s ago by the wall clock")
+    record_store.close()
 
 
 @store.command("verify")
 @FOLDER
 def verify(folder: Path) -> None:
-    """Check the pages and every record: exit 0, or 1 with a line for each fault."""
-    book = _book(folder)
-    faults = [*book.damage, *book.verify()]
-    for line in faults[len(book.damage) :]:
+    """Check the database pages and every record: exit 0, or 1 with a line for each fault."""
+    record_store = _open_store(folder)
+    faults = [*record_store.damage, *record_store.verify()]
+    for line in faults[len(record_store.damage) :]:
         click.echo(line)
-    click.echo(f"{sum(book.counts().values())} records, {len(faults)} faults")
-    book.close()
+    click.echo(f"{sum(record_store.counts().values())} records, {len(faults)} faults")
+    record_store.close()
     sys.exit(1 if faults else 0)
 
 
 @store.command("export")
 @FOLDER
-@click.option("--out", type=click.Path(path_type=Path), required=True, help="The new file, a JSON object a line.")
+@click.option("--out", type=click.Path(path_type=Path), required=True, help="The new file, with one JSON object per line.")
 def export(folder: Path, out: Path) -> None:
-    """Write all records as JSON lines: to look at, to keep, to move to another machine."""
+    """Write all records as JSON lines, to inspect, back up or move them to another machine."""
     import msgspec
 
     from ..store.records import RECORD_TYPES, SCHEMA_VERSION
 
-    book = _book(folder)
-    many = 0
+    record_store = _open_store(folder)
+    count = 0
     with out.open("xb") as file:
         file.write(msgspec.json.encode({"gingergap store": SCHEMA_VERSION}) + b"\n")
         for kind in RECORD_TYPES:
-            for item in book.items(kind):
+            for item in record_store.items(kind):
                 file.write(msgspec.json.encode({"kind": kind, "key": item.key, "seen": item.seen, "body": item.body}) + b"\n")
-                many += 1
-    book.close()
-    click.echo(f"{out}: {many} records")
+                count += 1
+    record_store.close()
+    click.echo(f"{out}: {count} records")
 
 
 @store.command("import")
 @FOLDER
 @click.option("--from", "source", type=click.Path(path_type=Path), required=True, help="A file that `store export` wrote.")
 def import_(folder: Path, source: Path) -> None:
-    """Put exported records into a store, all or none; records of the same key are replaced."""
+    """Import exported records into a store, all or none. Records with the same key are replaced."""
     from ..store.export_reader import read_export
     from ..store.record_store import RecordStore
 
     changes = read_export(source)
-    book = RecordStore(folder)
-    book.commit(changes)
-    book.close()
-    click.echo(f"{folder}: {len(changes)} records put")
+    record_store = RecordStore(folder)
+    record_store.commit(changes)
+    record_store.close()
+    click.echo(f"{folder}: {len(changes)} records imported")
 
 
 @store.command("compact")
 @FOLDER
 def compact(folder: Path) -> None:
-    """Give room back that removed records took."""
-    book = _book(folder)
-    before, after = book.compact()
-    book.close()
+    """Reclaim the disk space of removed records."""
+    record_store = _open_store(folder)
+    before, after = record_store.compact()
+    record_store.close()
     click.echo(f"{folder}: {before} bytes before, {after} after")
 
 
 @store.command("state")
 @click.option("--control", required=True, help="The proxy's control socket.")
 def state(control: str) -> None:
-    """What a running proxy has written and remembered."""
+    """Show what a running proxy has written and restored."""
     from ..control.client import NoAnswerError, ask
-    from .tables import rows
+    from .tables import print_table
 
     try:
-        rows("store", [{"what": name, "value": str(value)} for name, value in ask(control, "store").items()])
+        print_table("store", [{"what": name, "value": str(value)} for name, value in ask(control, "store").items()])
     except NoAnswerError as error:
         fail(str(error))
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -11,7 +11,7 @@
 from click.testing import CliRunner
 
 from gingergap.cli.main import main
-from gingergap.cli.watch import Watch
+from gingergap.cli.watch import WatchApp
 from gingergap.control.client import NoAnswerError, ask
 from gingergap.settings.edge import EdgeForm
 from gingergap.settings.forms import BadSettingsError, parse
@@ -114,7 +114,7 @@
     assert shown.exit_code == 0 and "p0" in shown.output
 
     async def read_screen():
-        app = Watch(paths[0], 0.2)
+        app = WatchApp(paths[0], 0.2)
         async with app.run_test(size=(120, 50)) as pilot:
             await pilot.pause(0.6)
             tables = {name: app.query_one(f"#{name}").row_count for name in ("exchanges", "duties", "members")}
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -172,8 +172,8 @@
         replayed += int(result.output.split(" events, ")[1].split()[0])
     assert replayed > 300
     merged = CliRunner().invoke(main, ["trace", "merge", str(folder / "traces"), "--out", str(tmp_path / "merged.trace")])
-    assert merged.exit_code == 0 and ", 0 turned round" in merged.output, merged.output
-    assert int(merged.output.split(" crossings")[0].split()[-1]) > 20
+    assert merged.exit_code == 0 and ", 0 received before sent" in merged.output, merged.output
+    assert int(merged.output.split(" messages between proxies")[0].split()[-1]) > 20
     result = CliRunner().invoke(main, ["trace", "replay", str(tmp_path / "merged.trace")])
     assert result.exit_code == 0, result.output
 
--- a/tests/test_edge_process.py
+++ b/tests/test_edge_process.py
@@ -153,7 +153,7 @@
     assert sum(record[0] == SNAPSHOT for record in records) == 2 and [r[0] for r in records if r[0] == "gap"][:1] == ["gap"]
     assert [record[2] for record in records if record[0] == CODES["remark"]] == ["a word of ours"]
     result = CliRunner().invoke(main, ["trace", "replay", str(tmp_path / "t")])
-    assert result.exit_code == 0 and "2 states taken up" in result.output
+    assert result.exit_code == 0 and "2 states restored" in result.output
 
 
 def test_metrics_and_spans_of_an_ended_dialog(edge, tmp_path):
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -428,7 +428,7 @@
     records[index] = [CODES["abort"], records[index][1]]
     changed = write_trace(tmp_path, header, records, name="b.trace")
     done = runner.invoke(main, ["trace", "replay", str(changed)])
-    assert done.exit_code == 1 and "noted: abort" in done.output and "asked: decline" in done.output
+    assert done.exit_code == 1 and "noted: abort" in done.output and "replayed: decline" in done.output
     for name in ("none.trace", "junk.trace"):
         (tmp_path / "junk.trace").write_bytes(b"junk")
         result = runner.invoke(main, ["trace", "info", str(tmp_path / name)])
