--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,5 +1,5 @@
-"""Helpers of all tests: a host that writes down what it is asked for, a controller as at a small mesh, and a proxy with
-a wire that keeps what it is given, so that tests play its peers message by message."""
+"""Shared test helpers: a host that records its calls, a controller in a small mesh of exchanges, and a proxy without sockets
+whose SIP peers a test plays message by message."""
 
 import contextlib
 import itertools
@@ -23,7 +23,7 @@
 
 
 def pytest_collection_finish(session):
-    """Begin the trials of the soak, so that they are played beside the other tests."""
+    """Start the trials of the soak test in the background, so that they run beside the other tests."""
     seeds = [item.callspec.params["seed"] for item in session.items if item.path.name == "test_service_soak.py"]
     if seeds and not session.config.option.collectonly:
         session.config.soak = Soak(seeds)
@@ -49,6 +49,8 @@
 
 
 class RecordingHost:
+    """Accepts any method call and records it. `calls` holds (method name, *arguments)."""
+
     def __init__(self):
         self.calls = []
 
@@ -56,24 +58,25 @@
         return lambda *args: self.calls.append((name, *args))
 
     def calls_of(self, name):
-        return [entry[1:] for entry in self.calls if entry[0] == name]
+        """The arguments of each call of one method."""
+        return [call[1:] for call in self.calls if call[0] == name]
 
 
 def feed_in_chunks(reader, parts, data):
-    """Feed a reader the parts' bytes, cut anywhere; `data` is hypothesis's."""
-    whole = b"".join(parts)
-    cuts = sorted(data.draw(st.lists(st.integers(0, len(whole)), max_size=12)))
-    for start, end in zip([0, *cuts], [*cuts, len(whole)], strict=True):
-        reader.feed(whole[start:end])
-    return whole
+    """Feed the joined parts to a reader in chunks of random sizes and return them. `data` is hypothesis's data strategy."""
+    stream = b"".join(parts)
+    boundaries = sorted(data.draw(st.lists(st.integers(0, len(stream)), max_size=12)))
+    for start, end in zip([0, *boundaries], [*boundaries, len(stream)], strict=True):
+        reader.feed(stream[start:end])
+    return stream
 
 
-def feed_until_error(reader, parts, bad, held, most):
-    """Feed a reader any bytes until it raises `bad`; what it holds, by `held`, stays within `most`."""
-    with contextlib.suppress(bad):
+def feed_until_error(reader, parts, error_type, get_buffer, max_buffered):
+    """Feed parts to a reader until it raises `error_type`. Its buffer must never hold more than `max_buffered` bytes."""
+    with contextlib.suppress(error_type):
         for part in parts:
             reader.feed(part)
-            assert len(held()) <= most
+            assert len(get_buffer()) <= max_buffered
 
 
 VOICE = TrafficType(15_000, 90_000, 0.1, 1.0, True, None)
@@ -83,7 +86,7 @@
 
 @pytest.fixture
 def mesh():
-    """Exchange 0 is the own one; 1, 2 and 3 are far ends with groups of 20 circuits, and time is 0."""
+    """A controller at exchange 0, with trunk groups of 20 circuits to the exchanges 1, 2 and 3, at time 0."""
     host = RecordingHost()
     controller = CallController(
         host,
@@ -122,16 +125,16 @@
 
 
 class SimulatedPeers:
-    """A proxy without sockets and everybody around it. Times in tenths of a millisecond from 0."""
+    """A proxy without sockets, and all its SIP peers. Times are in tenths of a millisecond; the first is 0."""
 
     def __init__(self, settings=EDGE):
-        self.sent = []  # (message, hop), all that left
-        self.read_count = 0
+        self.sent = []  # (message, hop) of everything that the proxy sent
+        self.read_count = 0  # messages that `new_messages` has returned or skipped
         self.now = 0
         serial = itertools.count(1)
         form = parse_form(settings, "test", edge=EdgeForm)
         self.proxy = build_proxy(form, self, structlog.get_logger(), 0, 1_000_000.0, lambda size: f"{next(serial):0{size}x}")
-        self.calls = itertools.count(1)
+        self.serials = itertools.count(1)
         self.versions = itertools.count(1)
         self.notify_groups({1: 20, 2: 20, 3: 20})
         self.new_messages()
@@ -139,10 +142,10 @@
     def transmit(self, data, hop):
         self.sent.append((parse(data), hop))
 
-    # --- looking ---
+    # --- queries ---
 
     def new_messages(self, method=None, status=None, port=None, cseq=None):
-        """Messages since the last look that fit; all others of that time are forgotten too."""
+        """The messages sent since the last query that match; those that do not match count as read too."""
         fresh, self.read_count = self.sent[self.read_count :], len(self.sent)
         return [
             message
@@ -158,26 +161,26 @@
         return self.new_messages(method, status, port)
 
     def final_statuses(self, call):
-        """Final answers to a caller's INVITE, in order."""
+        """The final responses to a caller's INVITE, in order."""
         return [
             message.status
             for message, hop in self.sent
             if message.status >= 200 and message.call_id == call and hop == CALLER and message.cseq()[1] == "INVITE"
         ]
 
-    # --- acting ---
+    # --- actions ---
 
-    def advance_to(self, to):
-        for now in range(self.now + 50, to + 1, 50):
+    def advance_to(self, end):
+        for now in range(self.now + 50, end + 1, 50):
             self.proxy.due(now)
-        self.now = to
+        self.now = end
 
     def deliver(self, message, hop=CALLER):
         data = bytes(message)
         self.proxy.got(self.now, parse(data), hop)
 
     def invite(self, number="001555", expires=3, fields=(), branch=None, call=None, hop=CALLER):
-        call = call or f"call{next(self.calls)}"
+        call = call or f"call{next(self.serials)}"
         message = Message("INVITE", f"sip:{number}@127.0.0.1:7000")
         message.fields = [
             ("Via", f"SIP/2.0/{hop.transport} {hop.host}:{hop.port};branch={branch or 'z9hG4bK' + call}"),
@@ -194,19 +197,19 @@
         return message
 
     def legs(self, call):
-        """INVITEs sent on for a dialog, retransmissions left out."""
-        found = {}
+        """The INVITEs forwarded for a dialog, without retransmissions."""
+        legs = {}
         for message, hop in self.sent:
             if message.method == "INVITE" and message.call_id == call:
-                found.setdefault(top_via(message).branch, (message, hop))
-        return list(found.values())
+                legs.setdefault(top_via(message).branch, (message, hop))
+        return list(legs.values())
 
     def answer(self, leg, status, tag="far", fields=(), contact=True):
         message, hop = leg
-        extra = [*fields]
+        response_fields = [*fields]
         if 200 <= status < 300 and contact:
-            extra.append(("Contact", f"<sip:far@{hop.host}:{hop.port}>"))
-        self.deliver(response(message, status, tag, extra), hop)
+            response_fields.append(("Contact", f"<sip:far@{hop.host}:{hop.port}>"))
+        self.deliver(response(message, status, tag, response_fields), hop)
 
     def cancel(self, invite, hop=CALLER):
         message = Message("CANCEL", invite.uri)
@@ -215,16 +218,17 @@
         self.deliver(message, hop)
 
     def send_in_dialog(self, method, call, by_caller=True, tag="far", number=2, fields=()):
+        """Send a request within an established dialog, as the caller or as the called side."""
         message = Message(method, "sip:far@127.0.0.1:7101" if by_caller else "sip:c@127.0.0.1:9000")
         hop = CALLER if by_caller else Hop("UDP", "127.0.0.1", 7101)
-        ends = [("From", "<sip:c@127.0.0.1>;tag=ct"), ("To", f"<sip:001555@127.0.0.1>;tag={tag}")]
+        parties = [("From", "<sip:c@127.0.0.1>;tag=ct"), ("To", f"<sip:001555@127.0.0.1>;tag={tag}")]
         if not by_caller:
-            ends = [("From", ends[1][1]), ("To", ends[0][1])]
+            parties = [("From", parties[1][1]), ("To", parties[0][1])]
         message.fields = [
             ("Via", f"SIP/2.0/UDP {hop.host}:{hop.port};branch=z9hG4bK{method}{call}{by_caller}{number}"),
             ("Route", "<sip:127.0.0.1:7000;lr>"),
             ("Max-Forwards", "70"),
-            *ends,
+            *parties,
             ("Call-ID", call),
             ("CSeq", f"{number} {method}"),
             *fields,
@@ -233,14 +237,14 @@
         return message
 
     def notify(self, event, body, state="active"):
-        sub = self.proxy.subscribers[event]
+        subscriber = self.proxy.subscribers[event]
         message = Message("NOTIFY", "sip:127.0.0.1:7000", body=msgspec.json.encode(body))
         message.fields = [
-            ("Via", f"SIP/2.0/UDP 127.0.0.1:7300;branch=z9hG4bKn{next(self.calls)}"),
+            ("Via", f"SIP/2.0/UDP 127.0.0.1:7300;branch=z9hG4bKn{next(self.serials)}"),
             ("From", f"<sip:n@127.0.0.1>;tag={event}"),
-            ("To", f"<sip:p>;tag={sub.tag}"),
-            ("Call-ID", sub.call_id),
-            ("CSeq", f"{next(self.calls)} NOTIFY"),
+            ("To", f"<sip:p>;tag={subscriber.tag}"),
+            ("Call-ID", subscriber.call_id),
+            ("CSeq", f"{next(self.serials)} NOTIFY"),
             ("Max-Forwards", "70"),
             ("Event", event),
             ("Subscription-State", state),
@@ -258,7 +262,8 @@
             },
         )
 
-    def notify_list(self, version, lines, state="partial", epoch="e"):
+    def notify_list(self, version, entries, state="partial", epoch="e"):
+        """`entries` holds (exchange id, state, start time) of each listed exchange."""
         self.notify(
             "exchange-list",
             {
@@ -266,14 +271,20 @@
                 "state": state,
                 "epoch": epoch,
                 "exchanges": [
-                    {"id": name, "number": int(name[1]), "state": word, "started": started, "address": f"127.0.0.1:710{name[1]}"}
-                    for name, word, started in lines
+                    {
+                        "id": name,
+                        "number": int(name[1]),
+                        "state": exchange_state,
+                        "started": started,
+                        "address": f"127.0.0.1:710{name[1]}",
+                    }
+                    for name, exchange_state, started in entries
                 ],
             },
         )
 
     def establish_dialog(self, number="001555"):
-        """A dialog that stands; its INVITE and its leg."""
+        """Set up a dialog and return its INVITE and its leg."""
         invite = self.invite(number)
         leg = self.legs(invite.call_id)[0]
         self.answer(leg, 200)
