--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -40,7 +40,7 @@
         ("edge", ["one form"]),
         ('(edge (nome "a"))', ["edge: nome: no such part"]),
         ("(edge stray)", ["'stray' is no part"]),
-        ('(edge (name "a") (name "b"))', ["name: stands twice"]),
+        ('(edge (name "a") (name "b"))', ["name: is given twice"]),
         ('(edge (name "a" "b"))', ["one value"]),
         (
             '(edge (name "p") (listen "nowhere") (here 5) (exchange (number -1) (id a) (address "1.2.3.4:99999")))',
@@ -177,8 +177,8 @@
         replayed += int(result.output.split(" events, ")[1].split()[0])
     assert replayed > 300
     merged = CliRunner().invoke(main, ["trace", "merge", str(folder / "traces"), "--out", str(tmp_path / "merged.trace")])
-    assert merged.exit_code == 0 and ", 0 turned round" in merged.output, merged.output
-    assert int(merged.output.split(" crossings")[0].split()[-1]) > 20
+    assert merged.exit_code == 0 and ", 0 received before sent" in merged.output, merged.output
+    assert int(merged.output.split(" messages between proxies")[0].split()[-1]) > 20
     result = CliRunner().invoke(main, ["trace", "replay", str(tmp_path / "merged.trace")])
     assert result.exit_code == 0, result.output
 
--- a/tests/test_restart_state.py
+++ b/tests/test_restart_state.py
@@ -3,7 +3,7 @@
 
 import pytest
 import structlog
-from conftest import VIDEO, VOICE, NotedHost, Peers, tag
+from conftest import VIDEO, VOICE, RecordingHost, SimulatedPeers, tag
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -21,7 +21,7 @@
 
 
 def make_controller(now=0, listed=True, sizes=(20, 20, 20)):
-    host = NotedHost()
+    host = RecordingHost()
     controller = CallController(
         host,
         7,
@@ -107,7 +107,7 @@
     new.start(now)
     for dialog in range(40):
         new.dialog_received(now + SECOND, dialog, 0, 1, 1, f"n{dialog}", 30_000, False, False, False)
-    assert host.asked("send_leg")  # one second later not every set-up is held back
+    assert host.calls_of("send_leg")  # one second later not every set-up is held back
 
 
 def test_restored_state_loses_weight_gradually_with_age():
@@ -178,11 +178,11 @@
     )
     new.trunk_group_reported(now, 1, 20, 20)
     new.dialog_received(now + 1, 1, 0, 1, 1, "a", 90_000, False, False, False)
-    assert host.asked("send_leg") == []
+    assert host.calls_of("send_leg") == []
     for tick_at in range(now + 200, now + 21_000, 200):
         new.tick(tick_at)
     new.dialog_received(now + 21_000, 2, 0, 1, 1, "b", 90_000, False, False, False)
-    assert [entry[0] for entry in host.asked("send_leg")] == [2] or len(host.asked("send_leg")) >= 1
+    assert [entry[0] for entry in host.calls_of("send_leg")] == [2] or len(host.calls_of("send_leg")) >= 1
 
 
 RATES = st.floats(0, 1e4, allow_nan=False)
@@ -230,7 +230,7 @@
     later = now + MINUTE + SECOND
     for dialog, destination in enumerate((1, 2, 3)):
         controller.dialog_received(later, dialog, 0, destination, 1, f"new{dialog}", 90_000, False, False, False)
-    assert sorted(entry[1] for entry in host.asked("send_leg")) == [1, 2, 3]  # each gets a trial leg
+    assert sorted(entry[1] for entry in host.calls_of("send_leg")) == [1, 2, 3]  # each gets a trial leg
 
 
 def test_repeated_crashes_make_no_start_worse_than_the_one_before():
@@ -419,7 +419,7 @@
 # --- a proxy that continues after another one was killed ---
 
 
-class Restarted(Peers):
+class Restarted(SimulatedPeers):
     """Peers of a proxy with a store. `found` is the RestoredState that the proxy starts with."""
 
     def __init__(self, folder, found=None, now=0, wall=1_000_000.0):
@@ -453,11 +453,11 @@
 
 def test_a_restored_dialog_is_ended_by_the_callers_bye(tmp_path):
     peers = Restarted(tmp_path)
-    invite, leg = peers.standing()
+    invite, leg = peers.establish_dialog()
     restarted = peers.kill_and_restart()
     assert restarted.proxy.counts["remembered"] == 1
-    restarted.within("BYE", invite.call_id)
-    assert [message.method for message in restarted.new("BYE", port=7101)] == ["BYE"]
+    restarted.send_in_dialog("BYE", invite.call_id)
+    assert [message.method for message in restarted.new_messages("BYE", port=7101)] == ["BYE"]
     assert restarted.proxy.calls == {}
     third = restarted.kill_and_restart()
     assert "remembered" not in third.proxy.counts
@@ -465,22 +465,22 @@
 
 def test_a_restored_dialog_is_ended_by_the_destinations_bye(tmp_path):
     peers = Restarted(tmp_path)
-    invite, leg = peers.standing()
+    invite, leg = peers.establish_dialog()
     restarted = peers.kill_and_restart()
-    restarted.within("BYE", invite.call_id, by_caller=False)
-    assert restarted.new("BYE", port=9000) and restarted.proxy.calls == {}
+    restarted.send_in_dialog("BYE", invite.call_id, by_caller=False)
+    assert restarted.new_messages("BYE", port=9000) and restarted.proxy.calls == {}
 
 
 def test_a_retransmitted_answer_after_a_restart_is_forwarded_and_ends_nothing(tmp_path):
     peers = Restarted(tmp_path)
-    invite, leg = peers.standing()
+    invite, leg = peers.establish_dialog()
     restarted = peers.kill_and_restart()
     restarted.answer(leg, 200)
     forwarded = [(message, hop) for message, hop in restarted.sent if message.status == 200 and message.cseq()[1] == "INVITE"]
     assert len(forwarded) == 1 and forwarded[0][1].port == 9000 and top_via(forwarded[0][0]).port == 9000
-    assert not restarted.all("BYE") and len(restarted.proxy.calls) == 1
+    assert not restarted.all_messages("BYE") and len(restarted.proxy.calls) == 1
     restarted.answer(leg, 200, tag="another")  # the answer of another fork is released
-    assert restarted.all("BYE")
+    assert restarted.all_messages("BYE")
 
 
 def test_an_answer_to_a_set_up_interrupted_by_the_restart_is_released(tmp_path):
@@ -490,25 +490,25 @@
     restarted = peers.kill_and_restart()
     assert "remembered" not in restarted.proxy.counts
     restarted.answer(leg, 200)
-    assert restarted.all("ACK") and restarted.all("BYE")
+    assert restarted.all_messages("ACK") and restarted.all_messages("BYE")
 
 
 def test_the_exchange_list_is_restored(tmp_path):
     peers = Restarted(tmp_path)
-    peers.tell_list(1, [("x0", "ready", 0), ("x1", "gone", 0), ("x2", "draining", 0), ("x3", "ready", 0)], "full")
+    peers.notify_list(1, [("x0", "ready", 0), ("x1", "gone", 0), ("x2", "draining", 0), ("x3", "ready", 0)], "full")
     restarted = peers.kill_and_restart()
-    restarted.tell_groups({1: 20, 2: 20, 3: 20})
+    restarted.notify_groups({1: 20, 2: 20, 3: 20})
     for destination in (1, 2, 3):
         invite = restarted.invite(f"00{destination}555")
         assert bool(restarted.legs(invite.call_id)) == (destination == 3), destination
-    restarted.tell_list(1, [("x0", "ready", 0), ("x1", "ready", 0), ("x2", "ready", 0), ("x3", "ready", 0)], "full", epoch="f")
+    restarted.notify_list(1, [("x0", "ready", 0), ("x1", "ready", 0), ("x2", "ready", 0), ("x3", "ready", 0)], "full", epoch="f")
     invite = restarted.invite("001777")
     assert restarted.legs(invite.call_id)
 
 
 def test_an_exchange_that_replaced_another_keeps_its_number_after_a_restart(tmp_path):
     peers = Restarted(tmp_path)
-    peers.tell_list(1, [("x0", "ready", 0), ("x1", "gone", 0), ("x2", "ready", 0), ("x3", "ready", 0)], "full")
+    peers.notify_list(1, [("x0", "ready", 0), ("x1", "gone", 0), ("x2", "ready", 0), ("x3", "ready", 0)], "full")
     peers.notify(
         "exchange-list",
         {
@@ -519,7 +519,7 @@
         },
     )
     restarted = peers.kill_and_restart(after=20)
-    restarted.tell_groups({1: 20, 2: 20, 3: 20})
+    restarted.notify_groups({1: 20, 2: 20, 3: 20})
     invite = restarted.invite("001555")
     assert [hop.port for _, hop in restarted.legs(invite.call_id)] == [7999]
 
@@ -527,12 +527,12 @@
 def test_restored_dialogs_that_the_switch_does_not_count_are_ended(tmp_path):
     peers = Restarted(tmp_path)
     for number in range(3):
-        peers.standing(f"00155{number}")
+        peers.establish_dialog(f"00155{number}")
     restarted = peers.kill_and_restart()  # reports the groups once, with all circuits free
     assert len(restarted.proxy.calls) == 3
-    restarted.tell_groups({1: 19, 2: 20, 3: 20})
+    restarted.notify_groups({1: 19, 2: 20, 3: 20})
     assert len(restarted.proxy.calls) == 1 and restarted.proxy.counts["remembered dialogs that were over"] == 2
-    restarted.tell_groups({1: 20, 2: 20, 3: 20})
+    restarted.notify_groups({1: 20, 2: 20, 3: 20})
     assert restarted.proxy.calls == {}
 
 
@@ -540,7 +540,7 @@
     peers = Restarted(tmp_path)
     invite = peers.invite("002555")
     leg = peers.legs(invite.call_id)[0]
-    peers.pass_time(peers.now + 4_000)
+    peers.advance_to(peers.now + 4_000)
     peers.answer(leg, 200)
     slow = peers.proxy.controller.exchanges[peers.proxy.gw_by_id["x2"]]
     assert slow.recent_setup > 0
@@ -551,8 +551,8 @@
 
 
 def test_a_proxy_without_a_store_works(peers):
-    invite, leg = peers.standing()
-    peers.within("BYE", invite.call_id)
+    invite, leg = peers.establish_dialog()
+    peers.send_in_dialog("BYE", invite.call_id)
     assert peers.proxy.calls == {} and peers.proxy.state_recorder is None
     assert tag(invite) == "" and structlog.get_logger() is not None
 
@@ -563,7 +563,7 @@
     from gingergap.duties.leases import FencingToken
     from gingergap.duties.manager import Duty, DutyManager
 
-    manager = DutyManager(NotedHost(), Random(1), 0, "p0", 1, frozenset({"p1"}), [Duty("probe x1", 100, 1_000)])
+    manager = DutyManager(RecordingHost(), Random(1), 0, "p0", 1, frozenset({"p1"}), [Duty("probe x1", 100, 1_000)])
     manager.restore_counter("probe x1", 17)
     assert manager.counters() == {"probe x1": 17} and manager.states["probe x1"].claim.start_round(0) == 18
     granted, newest = manager.handle_vote_request(10**6, "probe x1", FencingToken(12, "p1/1"), 100, -1)
--- a/tests/test_spans.py
+++ b/tests/test_spans.py
@@ -196,13 +196,13 @@
 
 
 @pytest.fixture
-def recorded_peers(peers_of, monkeypatch):
+def recorded_peers(make_peers, monkeypatch):
     """Peers whose proxy records into a trace buffer, and the buffer."""
     import conftest
 
     buffer = TraceBuffer()
     monkeypatch.setattr(conftest, "build_proxy", lambda *args: build_proxy(*args, buffer))
-    return peers_of(), buffer
+    return make_peers(), buffer
 
 
 def notes_named(buffer, name):
@@ -211,7 +211,7 @@
 
 def test_a_leg_over_a_tandem_and_its_answer_are_noted_under_its_branch(recorded_peers):
     peers, buffer = recorded_peers
-    peers.tell_groups({1: 0, 2: 20, 3: 20})
+    peers.notify_groups({1: 0, 2: 20, 3: 20})
     invite = peers.invite("001555")
     (leg,) = peers.legs(invite.call_id)
     leg_id = message_id(top_via(leg[0]).branch)
@@ -226,7 +226,7 @@
 def test_a_dialog_in_transit_and_its_answer_are_noted_under_the_incoming_branch(recorded_peers):
     peers, buffer = recorded_peers
     for number, free in ((1, 20), (2, 0)):
-        peers.tell_groups({1: free, 2: 20, 3: 20})
+        peers.notify_groups({1: free, 2: 20, 3: 20})
         call = f"transit{number}"
         fields = [("Via", f"SIP/2.0/UDP 127.0.0.1:6999;branch=z9hG4bKfar{number}"), ("Gingergap-Dialog", "transit;time-left=3000")]
         peers.invite("001555", call=call, fields=fields)
@@ -236,14 +236,14 @@
         if free:
             peers.answer(legs[0], 200)
         else:
-            assert not legs and peers.finals(call) == [503]
+            assert not legs and peers.final_statuses(call) == [503]
         assert notes_named(buffer, "sent")[-1][1] == answer_id(ids[1])
     events = [record[0] for record in buffer.records]
     received, arrival = events.index(CODES["received"]), events.index(CODES["dialog_received"])
     assert received < arrival  # otherwise records caused by the arrival could precede the note
 
 
-def test_messages_between_proxies_are_noted_under_their_call_id(recorded_peers, peers_of):
+def test_messages_between_proxies_are_noted_under_their_call_id(recorded_peers, make_peers):
     peers, buffer = recorded_peers
     message = Message("MESSAGE", "sip:proxy@127.0.0.1:7000", body=b"\0\1\2\3")
     message.fields = [
@@ -254,10 +254,10 @@
         ("CSeq", "1 MESSAGE"),
         ("Max-Forwards", "9"),
     ]
-    peers.come(message, Hop("UDP", "127.0.0.1", 7100))
+    peers.deliver(message, Hop("UDP", "127.0.0.1", 7100))
     assert notes_named(buffer, "received") == [[0, message_id("word1"), -1]]
     peers.proxy.send_to_peers(b"\0\1\2\3")
-    sent_ids = {message_id(message.call_id) for message in peers.all("MESSAGE")}
+    sent_ids = {message_id(message.call_id) for message in peers.all_messages("MESSAGE")}
     assert sent_ids == {note[1] for note in notes_named(buffer, "sent")} and sent_ids
 
 
@@ -268,7 +268,7 @@
     peers.proxy.timer_ran_late(5_200, 30_000)
     assert notes_named(buffer, "ran_late") == [[5_100, 900], [5_200, 30_000]]
     invite = peers.invite("001555")
-    assert peers.finals(invite.call_id) == [503] and notes_named(buffer, "dialog_rejected")[0][1] == 0
+    assert peers.final_statuses(invite.call_id) == [503] and notes_named(buffer, "dialog_rejected")[0][1] == 0
     peers.proxy.remark(6_000, "phones dead in Bellville")
     assert notes_named(buffer, "remark") == [[6_000, "phones dead in Bellville"]]
 
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -29,26 +29,26 @@
 
 
 @pytest.fixture
-def recorded_run(peers_of, monkeypatch):
+def recorded_run(make_peers, monkeypatch):
     """The trace buffer and header of a proxy that has served calls of all kinds."""
     import conftest
 
     buffer = TraceBuffer()
     monkeypatch.setattr(conftest, "build_proxy", lambda *args: build_proxy(*args, buffer))
-    peers = peers_of()
+    peers = make_peers()
     for number in range(60):
         invite = peers.invite(f"00{1 + number % 3}{number:03d}", expires=2)
         legs = peers.legs(invite.call_id)
         if legs and number % 4 == 0:
             peers.answer(legs[0], 200)
-            peers.within("BYE", invite.call_id)
+            peers.send_in_dialog("BYE", invite.call_id)
         elif legs and number % 4 == 1:
             peers.answer(legs[0], 503, fields=[("Reason", "Q.850;cause=34")])
         elif number % 4 == 2:
             peers.cancel(invite)
-        peers.pass_time(peers.now + 400)
-    peers.tell_list(1, [("x0", "ready", 0), ("x1", "draining", 0), ("x2", "ready", 0)], "full")
-    peers.pass_time(peers.now + 30_000)
+        peers.advance_to(peers.now + 400)
+    peers.notify_list(1, [("x0", "ready", 0), ("x1", "draining", 0), ("x2", "ready", 0)], "full")
+    peers.advance_to(peers.now + 30_000)
     return buffer, Header(FORMAT, module_digest(), "e1", "p0", 0.0, 0, peers.proxy.controller_arguments)
 
 
@@ -428,7 +428,7 @@
     records[index] = [CODES["abort"], records[index][1]]
     changed = write_trace(tmp_path, header, records, name="b.trace")
     done = runner.invoke(main, ["trace", "replay", str(changed)])
-    assert done.exit_code == 1 and "noted: abort" in done.output and "asked: decline" in done.output
+    assert done.exit_code == 1 and "noted: abort" in done.output and "replayed: decline" in done.output
     for name in ("none.trace", "junk.trace"):
         (tmp_path / "junk.trace").write_bytes(b"junk")
         result = runner.invoke(main, ["trace", "info", str(tmp_path / name)])
@@ -442,4 +442,4 @@
     assert form.trace.folder == "t" and form.trace.budget_mb == 256 and form.trace.recording
     with pytest.raises(BadSettingsError) as error:
         parse_form(EDGE.strip()[:-1] + ' (trace (folder "t") (part-mb 16) (budget-mb 20)))', "f", edge=EdgeForm)
-    assert "budget-mb" in str(error.value.faults)
+    assert "budget-mb" in str(error.value.errors)
