--- a/gingergap/caller_protocol/json_lines.py
+++ b/gingergap/caller_protocol/json_lines.py
@@ -38,7 +38,7 @@
 class _DiscardReason(Enum):
     """Why a set-up is discarded, judging by the lines received together with it."""
 
-    WITHDRAWN = "its release stands behind it"
+    WITHDRAWN = "its release was received with it"
     DUPLICATE_ID = "its id comes twice"
     INVALID_LINE_FOLLOWS = "what follows it can't be read"
 
--- a/gingergap/control/client.py
+++ b/gingergap/control/client.py
@@ -30,7 +30,7 @@
         except OSError as error:
             raise NoAnswerError(f"{path}: {error.strerror or 'no answer in time'}") from None
         except msgspec.MsgspecError:
-            raise NoAnswerError(f"{path}: what answers there is no proxy") from None
+            raise NoAnswerError(f"{path}: the reply is not valid JSON") from None
     if not isinstance(reply, dict) or "answer" not in reply:
         raise NoAnswerError(f"{path}: {reply.get('error') if isinstance(reply, dict) else 'no answer'}")
     return reply["answer"]
--- a/gingergap/control/server.py
+++ b/gingergap/control/server.py
@@ -44,7 +44,7 @@
                 except OSError:
                     self.path.unlink()
                 else:
-                    raise OSError(f"{self.path}: another process serves there")
+                    raise OSError(f"{self.path}: another process listens on this socket")
         self.listener = socket.socket(socket.AF_UNIX)
         previous_umask = os.umask(0o177)
         try:
--- a/gingergap/edge/serve.py
+++ b/gingergap/edge/serve.py
@@ -391,7 +391,7 @@
                         for task in self.work.plan.tasks.values()
                     ],
                 }
-        raise KeyError(f"nothing is called {question!r}")
+        raise KeyError(f"unknown question {question!r}")
 
     def _require_recorder(self) -> Recorder:
         if self.recorder is None:
--- a/gingergap/emulator/controller_factory.py
+++ b/gingergap/emulator/controller_factory.py
@@ -22,7 +22,7 @@
         try:
             return baseline_factory(policy, seed)
         except KeyError:
-            raise UnknownPolicyError("none of module, direct, random tandem, reservation, nor a file that ends in .py") from None
+            raise UnknownPolicyError("must be module, direct, random tandem, reservation, or a file that ends in .py") from None
     try:
         module = module_at(Path(policy))
     except (BadTraceError, OSError) as error:
--- a/gingergap/service/caller_connections.py
+++ b/gingergap/service/caller_connections.py
@@ -113,7 +113,7 @@
         if not idle:
             return False
         min(idle, key=lambda caller: (caller.is_known_caller, caller.has_sent_message, caller.last_read_at)).close(
-            True, "room for another"
+            True, "closed to make room for a new connection"
         )
         return True
 
@@ -194,7 +194,7 @@
         """Close the connection of the open set-up `id`, received again on another connection, if its peer has reset it."""
         call = self.owner.calls.by_id.get(id)
         if call is not None and call.conn is not None and call.conn.peer_state() is PeerState.GONE:
-            call.conn.close(True, "its peer has gone, and its set-up came again elsewhere")
+            call.conn.close(True, "reset by its peer; its set-up was received again on another connection")
 
     def check_half_closed(self) -> None:
         """Close the connections whose peers have not only shut down their sending side but answer writes with a reset."""
@@ -213,17 +213,17 @@
             silence = now - caller.last_read_at
             if silence <= LINE_TIMEOUT:
                 if not caller.has_sent_message and now - caller.accepted_at > 2 * LINE_TIMEOUT:
-                    caller.close(True, "bytes and no line")
+                    caller.close(True, "bytes received, but no complete line")
                 continue
             # Unread bytes count: they may have arrived while the process was suspended.
             in_use = caller in self.owner.calls.by_conn or caller.readable()
             if not in_use and (not caller.has_sent_message or caller.parser.buffer or silence > IDLE_TIMEOUT):
-                caller.close(True, "nothing whole in time" if caller.parser.buffer or not caller.has_sent_message else "at rest")
+                caller.close(True, "no complete line in time" if caller.parser.buffer or not caller.has_sent_message else "idle")
 
     def half_close_unused(self, caller: CallerConnection) -> None:
         """Half-close a connection, unless set-ups are open on it."""
         if caller not in self.owner.calls.by_conn:
-            self.owner.detail_log("caller-half-closed", port=caller.port, why="the id of a call that stands came again")
+            self.owner.detail_log("caller-half-closed", port=caller.port, why="set-up with the id of an established call")
             caller.finish(HALF_CLOSE_TIMEOUT)
 
     def half_close_idle(self, overdue: bool) -> None:
@@ -232,7 +232,9 @@
         for caller in list(self.open):
             if not caller.finishing and (overdue or caller.is_idle()):
                 caller.finish(within)
-                self.owner.detail_log("caller-half-closed", port=caller.port, why="overdue" if overdue else "nothing is owed on it")
+                self.owner.detail_log(
+                    "caller-half-closed", port=caller.port, why="overdue" if overdue else "no answer is outstanding"
+                )
                 self.half_close_unnoticed_until = self.owner.seconds() + within
 
     def are_active(self) -> bool:
--- a/gingergap/service/calls.py
+++ b/gingergap/service/calls.py
@@ -46,11 +46,11 @@
         diagnostics: Diagnostics | None = None,
     ) -> None:
         self.wire, self.diagnostics = wire, diagnostics
-        facts = SettingsReader(settings, "settings")
-        own_exchange, proxies, self.traffic_types, controller_options = controller_arguments(facts)
-        self.type_indices = {str(lane.get("Name", index)): index for index, lane in enumerate(facts.get("Lanes", list))}
-        self.max_circuits = facts.section("Specifics").get("ClassWidth", list, [])  # of one call, by traffic type
-        self.max_open = facts.section("Ceilings").get("OpenCap", int, 20_000)
+        settings_reader = SettingsReader(settings, "settings")
+        own_exchange, proxies, self.traffic_types, controller_options = controller_arguments(settings_reader)
+        self.type_indices = {str(lane.get("Name", index)): index for index, lane in enumerate(settings_reader.get("Lanes", list))}
+        self.max_circuits = settings_reader.section("Specifics").get("ClassWidth", list, [])  # of one call, by traffic type
+        self.max_open = settings_reader.section("Ceilings").get("OpenCap", int, 20_000)
         self.switch_ids: list[str] = []  # by gw
         self.gw_of: dict[str, int] = {}  # by switch id
         self.exchange_numbers: dict[int, int] = {}  # by gw
@@ -192,7 +192,7 @@
             self.ended_set_ups.add(now, id, EndOfSetUp.GIVEN_UP, conn)
 
     def _refuse_at_once(self, conn: Conn, id: str, reason: str, cause: int, wait: int) -> None:
-        """Refuse a set-up that the controller has not been told of. `wait`: milliseconds."""
+        """Refuse a set-up that has not been passed to the controller. `wait`: milliseconds."""
         self.increment(f"refused: {reason}")
         self.wire.log_call("set-up-refused", id, why=reason)
         self.wire.send_to_caller(conn, json_lines.encode_release(id, cause, wait))
@@ -289,7 +289,9 @@
         self.now = now
         for call in list(self.by_conn.get(conn, {}).values()):
             cause = ABORTED if call.forwarded else DECLINED
-            self.wire.log_call("set-up-failed" if call.forwarded else "set-up-refused", call.id, why="its connection is spoilt")
+            self.wire.log_call(
+                "set-up-failed" if call.forwarded else "set-up-refused", call.id, why="invalid line on its connection"
+            )
             self.wire.send_to_caller(conn, json_lines.encode_release(call.id, cause))
             self._give_up(call, EndOfSetUp.ANSWERED)
         self._report_leg_ends()
--- a/gingergap/service/ended_set_ups.py
+++ b/gingergap/service/ended_set_ups.py
@@ -16,10 +16,10 @@
 class EndOfSetUp(Enum):
     """How a set-up ended for its caller."""
 
-    ANSWERED = "it had its final answer"
-    GIVEN_UP = "its caller gave it up"
-    CONNECTION_GONE = "its connection ended first"
-    ELSEWHERE = "another process took it, and a switch told its end here"
+    ANSWERED = "a final answer was sent"
+    GIVEN_UP = "the caller gave it up"
+    CONNECTION_GONE = "its connection ended before the answer"
+    ELSEWHERE = "another process accepted it, and a switch reported its end here"
 
 
 class EndedSetUp:
--- a/gingergap/service/process.py
+++ b/gingergap/service/process.py
@@ -310,14 +310,14 @@
         )
 
     def _end_calls_of_dead_switches(self) -> None:
-        """End the calls at switches whose process has died. Their callers must be told now: the next process does not know of
+        """End the calls at switches whose process has died. Their callers must be notified now: the next process does not know of
         these calls."""
         for switch in self.switches.values():
             if switch.nobody_listens and self.established_calls(switch) and not any(link.up for link in switch.links):
                 self.switch_lost(switch)
 
     def _has_calls_at_unreachable_switch(self) -> bool:
-        """Whether an unreachable switch has established calls: it may turn out to be lost while callers can still be told."""
+        """Whether an unreachable switch has established calls: it may turn out to be lost while callers can still be notified."""
         return any(switch.unreachable_since and self.established_calls(switch) for switch in self.switches.values())
 
     def _continue_shutdown(self) -> None:
--- a/gingergap/service/switch_connections.py
+++ b/gingergap/service/switch_connections.py
@@ -126,7 +126,7 @@
     def close(self) -> None:
         self.listed = False
         for link in list(self.links):
-            link.close(True, "another address")
+            link.close(True, "the switch has a new address")
 
     def choose_link(self, used_links: set[Any]) -> SwitchConnection | None:
         """A connection for a set-up: a free one, else a new one, else the least busy. None: the switch is unreachable."""
@@ -153,7 +153,7 @@
         """Close connections that are not up yet and for which no set-up waits."""
         for link in list(self.links):
             if not link.up and self.owner.open_set_ups(link) == 0:
-                link.close(False, "nobody is left to be told what it would bring")
+                link.close(False, "no caller is left to receive releases")
 
     def _open_link(self) -> SwitchConnection:
         link = SwitchConnection(self)
@@ -203,7 +203,7 @@
                 self.owner.link_lost(link, False)
         late = [link for link in self.links if link.late]
         for link in late[:-MAX_LATE_LINKS]:
-            link.close(False, "late, and others are tried")
+            link.close(False, "connect timeout exceeded, and newer attempts are under way")
 
     def check(self) -> None:
         """Check for stalled messages, retired connections and whether the switch is reachable; called regularly."""
@@ -211,7 +211,7 @@
         for link in list(self.links):
             if link.retired and self.owner.open_set_ups(link) == 0:
                 # Half-closed, not closed: a close discarded a BYE that the switch had just written, so that one call in
-                # some thousands ended without its caller being told.
+                # some thousands ended without its caller being notified.
                 link.finish(HALF_CLOSE_TIMEOUT)
                 self._choose_reporting_link()
             elif link.up and link.parser.has_partial_message and now - link.last_read_at > STALL_TIMEOUT and not link.readable():
@@ -245,4 +245,4 @@
             if established_calls:
                 self.owner.switch_lost(self)
             for link in usable:
-                link.close(True, "nobody there")
+                link.close(True, "switch is unreachable")
--- a/tests/test_coordination.py
+++ b/tests/test_coordination.py
@@ -145,7 +145,7 @@
 def test_the_control_socket_rejects_unknown_questions(two_proxies):
     _, paths = two_proxies
     wait_until(lambda: ask(paths[0], "counts"))
-    for question, message in (("nonsense", "nothing is called"),):
+    for question, message in (("nonsense", "unknown question 'nonsense'"),):
         with pytest.raises(NoAnswerError, match=message):
             ask(paths[0], question)
     result = CliRunner().invoke(main, ["duties", "show", "--control", paths[0] + "none"])
