--- a/gingergap/trace/anonymise.py
+++ b/gingergap/trace/anonymise.py
@@ -191,6 +191,6 @@
     try:
         fields = state_of(snapshot)
     except BadSnapshotError as error:
-        raise BadTraceError(f"{error}; it is not known which numbers it holds") from None
+        raise BadTraceError(f"{error}; the telephone numbers in it cannot be found") from None
     rewriter = StateRewriter(numbers, module_strings())
     return from_state({name: rewriter.rewrite(value) for name, value in fields.items()})
--- a/gingergap/trace/compare.py
+++ b/gingergap/trace/compare.py
@@ -69,7 +69,7 @@
     name = f"{call_controller.__package__}._other_version"
     spec = importlib.util.spec_from_file_location(name, path)
     if spec is None or spec.loader is None:
-        raise BadTraceError(f"{path}: no Python file")
+        raise BadTraceError(f"{path}: not a Python file")
     module = importlib.util.module_from_spec(spec)
     sys.modules[name] = module
     try:
@@ -108,7 +108,7 @@
         try:
             self.other = thaw(freeze(self.own), self.other_host, self.other_module)
         except BadSnapshotError as error:
-            raise BadTraceError(f"the other module can't take over this one's state: {error}") from None
+            raise BadTraceError(f"the other module can't load the state of this one: {error}") from None
         self.own_host.actions.clear()
         self.other_host.actions.clear()
 
@@ -215,18 +215,18 @@
             name = (
                 "leg to another exchange"
                 if recorded_action[0] == SEND_LEG and recorded_action[2] != other_action[2]
-                else f"other figures in {NAMES[recorded_action[0]]}"
+                else f"other arguments of {NAMES[recorded_action[0]]}"
             )
         else:
             name = f"{_action_name(recorded_action)} -> {_action_name(other_action)}"
         found.append((name, dialog, recorded_action, other_action))
     if not found:
-        found.append(("other order of the same", -1, recorded[0], other[0]))
+        found.append(("same actions in another order", -1, recorded[0], other[0]))
     return found
 
 
 def _action_name(action: list[Any] | None) -> str:
-    return "nothing yet" if action is None else NAMES[action[0]]
+    return "no action" if action is None else NAMES[action[0]]
 
 
 def _count_outcome(
--- a/gingergap/trace/cut.py
+++ b/gingergap/trace/cut.py
@@ -49,7 +49,7 @@
             focus.add((timeline.source, timeline.dialog))
             first, last = min(first, timeline.arrived_at), max(last, timeline.last_record_at)
     if not focus:
-        raise BadTraceError(f"{trace.name}: nothing of that in it")
+        raise BadTraceError(f"{trace.name}: no dialog matches the selection")
     return Selection(max(low, first), min(high, last), frozenset(focus))
 
 
@@ -103,7 +103,7 @@
     last = locations[-1].summary.last_time if locations else 0
     window = max(selection.low, first), min(selection.high, last)
     if window[0] > window[1]:
-        raise BadTraceError(f"{trace.name}: nothing in that window, it holds {first} to {last}")
+        raise BadTraceError(f"{trace.name}: no records in this window; the trace spans {first} to {last}")
     header = msgspec.structs.replace(
         trace.header,
         format=FORMAT,
--- a/gingergap/trace/recorder.py
+++ b/gingergap/trace/recorder.py
@@ -133,7 +133,7 @@
                 self._open_next_part()
             self._write_gaps()
             if self.pending_gaps:
-                raise OSError("the gap before can't be written")
+                raise OSError("the record of the preceding gap can't be written")
             self.writer.write_events(block)
         except OSError as error:
             times = [record[1] for record in block if has_time(record)]
--- a/gingergap/trace/snapshot.py
+++ b/gingergap/trace/snapshot.py
@@ -81,5 +81,5 @@
         else:
             found, own = None, False
         if not own:
-            raise BadSnapshotError(f"a snapshot names {module}.{name}, which is not the module's")
+            raise BadSnapshotError(f"a snapshot refers to {module}.{name}, which is not one of the module's own classes")
         return found
--- a/gingergap/trace/stored_names.py
+++ b/gingergap/trace/stored_names.py
@@ -220,7 +220,7 @@
 
 def _stored_module() -> ModuleType:
     """The module under whose name the stored classes are pickled: `pickle` writes a class only if it can be imported."""
-    module = ModuleType(STORED_MODULE, "Names of the stored classes of snapshots; nothing to use.")
+    module = ModuleType(STORED_MODULE, "Names of the stored classes of snapshots, for pickle only.")
     for writing in _WRITING_CLASSES.values():
         setattr(module, writing.stand_in.__name__, writing.stand_in)
     return module
--- a/gingergap/trace/stream.py
+++ b/gingergap/trace/stream.py
@@ -131,7 +131,7 @@
     for path in paths:
         files += sorted(path.glob("*.trace")) if path.is_dir() else [path]
     if not files:
-        raise BadTraceError(f"{', '.join(map(str, paths))}: no trace files there")
+        raise BadTraceError(f"{', '.join(map(str, paths))}: no trace files found")
     groups: dict[tuple[str, str, str], list[Reader]] = {}
     for path in files:
         reader = Reader(path)
--- a/tests/test_trace_tools.py
+++ b/tests/test_trace_tools.py
@@ -140,9 +140,9 @@
     (bare,) = open_traces([tmp_path / "far.trace"])
     dialogs = {entry.record[trace_format.DIALOG_FIELD[entry.record[0]]] for entry in bare.entries()}
     assert {(0, dialog) for dialog in dialogs} == expected and writer.record_count < sum(1 for _ in long_trace.entries())
-    with pytest.raises(BadTraceError, match="nothing of that"):
+    with pytest.raises(BadTraceError, match="no dialog matches the selection"):
         resolve_selection(long_trace, None, None, frozenset({10**6}), None)
-    with pytest.raises(BadTraceError, match="nothing in that window"):
+    with pytest.raises(BadTraceError, match="no records in this window"):
         cut(long_trace, resolve_selection(long_trace, 1 << 40, None, frozenset(), None), tmp_path / "none.trace")
 
 
@@ -402,7 +402,7 @@
 def test_an_unreadable_snapshot_is_not_anonymised(tmp_path, recorded_run):  # noqa: F811
     _, header = recorded_run
     path = write_trace(tmp_path, header, [[SNAPSHOT, 1, b"junk"], [TICK, 2]])
-    with pytest.raises(BadTraceError, match="not known which numbers"):
+    with pytest.raises(BadTraceError, match="the telephone numbers in it cannot be found"):
         anonymise(open_traces([path])[0], NumberCipher(KEY), tmp_path / "out")
 
 
@@ -462,11 +462,11 @@
 def test_names_of_differences():
     send, decline, wake = CODES["send_leg"], CODES["decline"], CODES["schedule_tick"]
     assert [row[0] for row in classify_differences([[send, 1, 2, 9]], [[send, 1, 3, 9]])] == ["leg to another exchange"]
-    assert [row[0] for row in classify_differences([[send, 1, 2, 9]], [[send, 1, 2, 8]])] == ["other figures in send_leg"]
+    assert [row[0] for row in classify_differences([[send, 1, 2, 9]], [[send, 1, 2, 8]])] == ["other arguments of send_leg"]
     assert [row[0] for row in classify_differences([[send, 1, 2, 9]], [[decline, 1, 0]])] == ["send_leg -> decline"]
-    assert [row[0] for row in classify_differences([[wake, 200]], [])] == ["schedule_tick -> nothing yet"]
+    assert [row[0] for row in classify_differences([[wake, 200]], [])] == ["schedule_tick -> no action"]
     assert [row[0] for row in classify_differences([[send, 1, 2, 9], [decline, 2, 0]], [[decline, 2, 0], [send, 1, 2, 9]])] == [
-        "other order of the same"
+        "same actions in another order"
     ]
 
 
--- a/tests/test_trace_versions.py
+++ b/tests/test_trace_versions.py
@@ -193,7 +193,7 @@
 @pytest.mark.parametrize("name", ["Unknown", "SECOND", "insort", "LegEnd"])
 def test_a_snapshot_makes_nothing_but_the_modules_own_classes(name):
     data = b"\x80\x05\x8c\x0fgingergap.brain\x8c" + bytes([len(name)]) + name.encode() + b"\x93."
-    with pytest.raises(BadSnapshotError, match="not the module's"):
+    with pytest.raises(BadSnapshotError, match="not one of the module's own classes"):
         thaw(data, None)
 
 
@@ -349,7 +349,7 @@
     entries = list(recorded.entries())
     found = compare(recorded.sources, entries, True, earlier)
     assert found.events == 1057 and found.decisions == 650
-    assert "send_leg -> decline" in found.kinds or "send_leg -> nothing yet" in found.kinds
+    assert "send_leg -> decline" in found.kinds or "send_leg -> no action" in found.kinds
     assert any(name == "decline -> send_leg" for name in found.kinds)
 
 
