--- a/gingergap/emulator/streams.py
+++ b/gingergap/emulator/streams.py
@@ -12,8 +12,8 @@
     """Draws for one purpose, generated in batches of `BUFFER_SIZE`."""
 
     def __init__(self, seed: int, purpose: str) -> None:
-        words = np.frombuffer(hashlib.blake2s(f"{seed} {purpose}".encode()).digest(), dtype=np.uint32)
-        self.generator = np.random.Generator(np.random.PCG64(np.random.SeedSequence(words.tolist())))
+        seed_words = np.frombuffer(hashlib.blake2s(f"{seed} {purpose}".encode()).digest(), dtype=np.uint32)
+        self.generator = np.random.Generator(np.random.PCG64(np.random.SeedSequence(seed_words.tolist())))
         self.uniforms: list[float] = []
         self.exponentials: list[float] = []
         self.normals: list[float] = []
--- a/gingergap/standins/checker.py
+++ b/gingergap/standins/checker.py
@@ -149,7 +149,7 @@
         except (ValueError, KeyError, TypeError) as error:
             raise BadCaptureError(f"line {number}: not a captured message or note ({type(error).__name__})") from None
         if at < self.last_at - 1e-6:
-            raise BadCaptureError(f"line {number}: earlier than the line before")
+            raise BadCaptureError(f"line {number}: its time is earlier than that of the previous line")
         self.last_at = at
         try:
             message = parse(data.encode("utf-8", "surrogateescape"))
@@ -456,7 +456,7 @@
     def _judge_start(self, start: ColdStart, verdict: Verdict) -> None:
         """Rule 4: a cold machine gets no more set-ups in any span than `multiple` times its capacity over that span.
 
-        A breach needs two thirds of the set-ups to come from proxies that the list had told of the cold start.
+        A breach needs two thirds of the set-ups to come from proxies that the list had notified of the cold start.
         """
         verdict.judged[4] += 1
         span, multiple = self.parameters["span"], self.parameters["multiple"]
@@ -467,8 +467,10 @@
             for leg in legs:
                 if leg.target == start.address and start.at <= leg.at < until:
                     states = self.listed_states.get((proxy, start.exchange), ())
-                    was_told = any(listed.cold and listed.state == "ready" and start.at <= listed.at <= leg.at for listed in states)
-                    arrivals.append((leg.at, was_told, leg.line, call))
+                    was_notified = any(
+                        listed.cold and listed.state == "ready" and start.at <= listed.at <= leg.at for listed in states
+                    )
+                    arrivals.append((leg.at, was_notified, leg.line, call))
         arrivals.sort()
         first = 0
         for index, (at, _, line, call) in enumerate(arrivals):
@@ -477,7 +479,9 @@
             in_span = arrivals[first : index + 1]
             age = max(0.0, at - span - start.at)
             possible = start.capacity * (start.from_share + (1 - start.from_share) * age / start.warm_after)
-            if len(in_span) > multiple * possible * span and 3 * sum(was_told for _, was_told, _, _ in in_span) >= 2 * len(in_span):
+            if len(in_span) > multiple * possible * span and 3 * sum(was_notified for _, was_notified, _, _ in in_span) >= 2 * len(
+                in_span
+            ):
                 verdict.add_breach(
                     4,
                     call,
--- a/gingergap/standins/from_bench.py
+++ b/gingergap/standins/from_bench.py
@@ -30,10 +30,10 @@
     Returns the parts of its `(day ...)` form, and a line on each thing that was left out or changed. Raises BadDayFileError.
     """
     if not isinstance(bench, dict):
-        raise BadDayFileError("the file holds no object")
+        raise BadDayFileError("the file does not hold a JSON object")
     remarks: list[str] = []
     if _get(bench, "family") != "trunks" or _get(bench, "fam", "pools"):
-        raise BadDayFileError("only days of exchanges joined by groups can be played")
+        raise BadDayFileError("only days of exchanges joined by trunk groups are supported")
     try:
         return _convert(bench, seconds, remarks), remarks
     except (TypeError, ValueError, IndexError, ZeroDivisionError) as error:
@@ -130,9 +130,9 @@
         "longest_hold_off_ms": max(1, _get(clients, "max_retry_after") / 1000),
     }
     if _get(family, "advice"):
-        remarks.append("a centre's advice on tandems: no centre is played")
+        remarks.append("a centre's advice on tandems: left out, since no centre is simulated")
     if _get(bench, "tiers")[0].get("report_how") != "none":
-        remarks.append("reports of processors' load: the decisions don't use them")
+        remarks.append("reports of processors' load: left out, since the controller does not use them")
     faults = [
         fault for trouble in _get(bench, "troubles") if (fault := _convert_fault(trouble, bench_exchanges, scale, seconds, remarks))
     ]
@@ -197,5 +197,5 @@
             return {"kind": "cut", "at": fault["at"], "share": round(min(1.0, size), 3)}
         case "peer_down":
             return {"kind": "messages-lost", **fault, "factor": 1.0}
-    remarks.append(f"{kind} at {trouble['at'] / 1e6:.1f} s: nothing of the kind is played")
+    remarks.append(f"{kind} at {trouble['at'] / 1e6:.1f} s: left out, since faults of this kind are not supported")
     return None
--- a/gingergap/standins/simulated_disk.py
+++ b/gingergap/standins/simulated_disk.py
@@ -80,7 +80,7 @@
 
     def xWrite(self, data: bytes, offset: int) -> None:  # noqa: N802
         if len(data) > self.disk.free_bytes:
-            raise apsw.FullError("no room")
+            raise apsw.FullError("the simulated disk is full")
         self.disk.free_bytes -= len(data)
         super().xWrite(data, offset)
 
--- a/tests/test_from_bench.py
+++ b/tests/test_from_bench.py
@@ -99,7 +99,7 @@
 def test_trouble_without_a_fault_is_reported():
     parts, remarks = convert_bench_day(bench(trouble("report_late"), trouble("unheard_of")), 25)
     assert "fault" not in parts
-    assert sum("nothing of the kind is played" in line for line in remarks) == 2
+    assert sum("faults of this kind are not supported" in line for line in remarks) == 2
 
 
 def test_group_sizes_keep_their_ratio_to_offered_traffic():
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -206,7 +206,7 @@
 
     def failing_migration(rows):
         yield from list(rows)[:10]
-        raise apsw.FullError("no room")
+        raise apsw.FullError("the simulated disk is full")
 
     monkeypatch.setitem(MIGRATIONS, 1, failing_migration)
     with pytest.raises(BadStoreError, match="can't be upgraded"):
