--- a/benchmarks/calls.py
+++ b/benchmarks/calls.py
@@ -181,7 +181,7 @@
             if time.perf_counter() - last_ended_at > 2:
                 break
         if self.failed:
-            raise SystemExit(f"{self.failed} of {self.serial} calls failed: no figure is worth giving")
+            raise SystemExit(f"{self.failed} of {self.serial} calls failed: the results are not valid")
         return ended / (last_ended_at - start)
 
     def run_rate(self, rate, seconds):
--- a/benchmarks/causes.py
+++ b/benchmarks/causes.py
@@ -190,7 +190,7 @@
         for cause in CAUSES:
             print(f"{cause:>28} | " + " | ".join(f"{counts[cause, column]:>13}" for column in columns))
         correct, total = sum(counts[cause, cause] for cause in CAUSES), sum(counts.values())
-        print(f"right: {correct} of {total} ({correct / max(1, total):.2f})")
+        print(f"correct: {correct} of {total} ({correct / max(1, total):.2f})")
 
 
 if __name__ == "__main__":
--- a/benchmarks/coordination.py
+++ b/benchmarks/coordination.py
@@ -86,10 +86,10 @@
             for index in range(3)
         ]
         print(
-            f"{name}: {medians[0]:.3f} ms of processor a call, p50 {medians[1]:.2f}, p99 {medians[2]:.2f} ms; to off: "
+            f"{name}: {medians[0]:.3f} ms of CPU time a call, p50 {medians[1]:.2f}, p99 {medians[2]:.2f} ms; ratio to off: "
             + ", ".join(
                 f"{metric} {statistics.median(row):.3f} ({row[0]:.3f} to {row[-1]:.3f})"
-                for metric, row in zip(("processor", "p50", "p99"), ratios, strict=True)
+                for metric, row in zip(("CPU time", "p50", "p99"), ratios, strict=True)
             )
         )
 
@@ -115,7 +115,7 @@
         ]
     ratios = sorted(enabled / off for off, enabled in pairs)
     print("calls/s off, on:", [(round(off), round(enabled)) for off, enabled in pairs])
-    print(f"on to off: median {statistics.median(ratios):.3f}, {ratios[0]:.3f} to {ratios[-1]:.3f}")
+    print(f"ratio on/off: median {statistics.median(ratios):.3f}, {ratios[0]:.3f} to {ratios[-1]:.3f}")
 
 
 if __name__ == "__main__":
--- a/benchmarks/restart_state.py
+++ b/benchmarks/restart_state.py
@@ -176,7 +176,7 @@
         list(pool.map(play_all, seeds))
     for title, names, restarted in (
         ("after a kill", ("without", "with"), True),
-        ("begun with a memory", ("plain", "hours", "days", "wrong"), False),
+        ("started with a store", ("plain", "hours", "days", "wrong"), False),
     ):
         print(title)
         reference = None
@@ -186,7 +186,7 @@
             reference = reference or service
             differences = [value - other for value, other in zip(service, reference, strict=True)]
             print(
-                f"  {name:8}: service {statistics.mean(service):.3f} (against the first {statistics.mean(differences):+.3f}, "
+                f"  {name:8}: service {statistics.mean(service):.3f} (difference to the first {statistics.mean(differences):+.3f}, "
                 f"{min(differences):+.3f} to {max(differences):+.3f}), legs to bad exchanges {sum(row['bad'] for row in rows)} of "
                 f"{sum(row['legs'] for row in rows)}, dialogs {sum(row['came'] for row in rows)}, whole day "
                 f"{statistics.mean(row['whole'] for row in rows):.3f}, rules broken {sum(row['broken'] for row in rows)}"
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -256,13 +256,13 @@
             + ", ".join(
                 f"{metric} {statistics.median(column):.3f}"
                 for metric, column in zip(
-                    ("processor ms a call", "p50", "p99 ms", "bytes written a call"), zip(*rows, strict=True), strict=True
+                    ("CPU ms a call", "p50", "p99 ms", "bytes written a call"), zip(*rows, strict=True), strict=True
                 )
             )
         )
-    for index, metric in enumerate(("processor", "p50", "p99")):
+    for index, metric in enumerate(("CPU time", "p50", "p99")):
         ratios = sorted(on[index] / off[index] for off, on in zip(costs["off"], costs["on"], strict=True))
-        print(f"{metric}, on to off: median {statistics.median(ratios):.3f}, {ratios[0]:.3f} to {ratios[-1]:.3f}")
+        print(f"{metric}, ratio on/off: median {statistics.median(ratios):.3f}, {ratios[0]:.3f} to {ratios[-1]:.3f}")
 
 
 def main():
--- a/benchmarks/trace.py
+++ b/benchmarks/trace.py
@@ -47,7 +47,7 @@
         )
     print(
         f"replay: {trace_seconds:.1f} s in {replay_seconds:.2f} s, {trace_seconds / replay_seconds:.0f} times real time, "
-        f"{decisions} decisions, all alike"
+        f"{decisions} decisions, all equal"
     )
     reader = max(readers, key=lambda reader: sum(summary.record_count for _, summary in reader.block_summaries()))
     summaries = reader.block_summaries()
--- a/benchmarks/trace_tools.py
+++ b/benchmarks/trace_tools.py
@@ -101,9 +101,9 @@
         run_step("cut of a minute", 0, "cut", *files, "--from", middle, "--to", middle + 60, "--out", folder / "cut.trace")
         run_step("replay of the cut", 0, "replay", folder / "cut.trace")
         merge_all = run_step("merge of all", 0, "merge", arguments.traces, "--out", folder / "all.trace", output_lines=12)
-        run_step("replay of the merged", 0, "replay", folder / "all.trace")
+        run_step("replay of the merged trace", 0, "replay", folder / "all.trace")
         run_step(
-            "cut of a minute of the merged",
+            "cut of a minute of the merged trace",
             0,
             "cut",
             folder / "all.trace",
@@ -114,7 +114,7 @@
             "--out",
             folder / "part.trace",
         )
-        run_step("replay of that", 0, "replay", folder / "part.trace")
+        run_step("replay of this cut", 0, "replay", folder / "part.trace")
         for number, trace in enumerate(traces):
             end_time = trace.header.started + 10_000 * 60
             blocks = [block for block in trace.block_locations() if block.summary.first_time <= end_time]
--- a/benchmarks/validation.py
+++ b/benchmarks/validation.py
@@ -113,7 +113,7 @@
         print(
             f"{exchanges} exchanges: {day.offered} calls, {day.attempts} tries, {day.engine.event_count} events in "
             f"{day.run_duration:.2f} s: {day.attempts / day.run_duration:.0f} tries a second, "
-            f"{day.engine.event_count / day.run_duration:.0f} events a second; in the module and what it calls {share:.2f}"
+            f"{day.engine.event_count / day.run_duration:.0f} events a second; share of time in the controllers {share:.2f}"
         )
 
 
