--- a/gingergap/service/caller_connection.py
+++ b/gingergap/service/caller_connection.py
@@ -128,7 +128,7 @@
         gevent.spawn(self._give_up_set_ups)  # not from within the code that was writing
 
     def _give_up_set_ups(self) -> None:
-        """Nobody reads answers on this connection any more; what the peer wrote before may still be read."""
+        """The peer no longer reads answers on this connection; what it wrote before may still be read."""
         self.owner.calls.conn_lost(self.owner.clock(), self)
 
     def ended(self, reset: bool) -> None:
--- a/gingergap/service/calls.py
+++ b/gingergap/service/calls.py
@@ -306,7 +306,7 @@
         self._report_leg_ends()
 
     def _give_up(self, call: Call, reason: EndOfSetUp) -> None:
-        """End a set-up that nobody waits for. Its leg is cancelled without being counted against the destination, since no
+        """End a set-up whose caller no longer waits. Its leg is cancelled without being counted against the destination, since no
         failure of it is known."""
         if call.finished:
             return
@@ -329,7 +329,7 @@
                 self._send_invite_once_read(call)
 
     def link_lost(self, now: int, link: Link, was_up: bool) -> None:
-        """A connection has ended, or could not be made. Legs that were sent on it are in doubt; the others never ran."""
+        """A connection has ended, or could not be made. Legs that were sent on it are in doubt; the others were never sent."""
         self.now = now
         for call in list(self.by_link.get(link, {}).values()):
             self.increment("legs cut with their connection" if was_up else "legs to nobody")
@@ -493,8 +493,8 @@
             self.wire.send_release(call.conn, json_lines.encode_release(call.id, ABORTED))
             self._end_call(call, LegEnd.CUT)
 
-    def exchange_list_received(self, now: int, whole: bool, entries: list[tuple[str, int, GwState, int]]) -> None:
-        """Changes of the exchange list, or (`whole`) all of it: switch id, exchange number, state, start (0: long ago)."""
+    def exchange_list_received(self, now: int, complete: bool, entries: list[tuple[str, int, GwState, int]]) -> None:
+        """Changes of the exchange list, or (`complete`) all of it: switch id, exchange number, state, start (0: long ago)."""
         self.now = now
         list_entries = []
         for id, number, state, started in entries:
@@ -511,7 +511,7 @@
             # A switch that has restarted has lost its calls, and may never report their end.
             if started > 0:
                 self._cut_calls(gw, [call for call in self.established.get(gw, {}).values() if call.sent_at < started])
-        self.controller.exchange_list_received(now, list_entries, whole)
+        self.controller.exchange_list_received(now, list_entries, complete)
         self._drop_unsent_legs()
         self._report_leg_ends()
 
--- a/gingergap/service/process.py
+++ b/gingergap/service/process.py
@@ -60,8 +60,8 @@
         ceilings = SettingsReader(config.settings, "settings").section("Ceilings")
         self.connect_timeout = ceilings.get("ConnectTimeout", int, 500_000) / 1e6
         self.calls = Calls(self, self.clock(), config.seed, config.settings, diagnostics=Diagnostics(log) if diagnostics else None)
-        for offset, whole, entries in events_after(0, config.known):
-            self._apply_event(offset, whole, entries)
+        for offset, complete, entries in events_after(0, config.known):
+            self._apply_event(offset, complete, entries)
         self.last_offset = max(self.last_offset, config.known.offset)
 
     def clock(self) -> int:
@@ -184,15 +184,15 @@
 
     # --- exchange list ---
 
-    def _apply_event(self, offset: int, whole: bool, entries: list[ListedSwitch]) -> None:
-        """Apply one event of the bus; `whole`: the entries are the whole list."""
+    def _apply_event(self, offset: int, complete: bool, entries: list[ListedSwitch]) -> None:
+        """Apply one event of the bus; `complete`: the entries are the whole list."""
         self.last_offset = offset
-        log("list-changed", number=offset, whole=whole, switches=",".join(f"{entry.uid}:{entry.state}" for entry in entries[:8]))
+        log("list-changed", number=offset, whole=complete, switches=",".join(f"{entry.uid}:{entry.state}" for entry in entries[:8]))
         self.calls.exchange_list_received(
-            self.clock(), whole, [(entry.uid, entry.pod_group, state_of(entry), entry.boot_ms * 10) for entry in entries]
+            self.clock(), complete, [(entry.uid, entry.pod_group, state_of(entry), entry.boot_ms * 10) for entry in entries]
         )
         listed = {self.calls.gw_of[entry.uid] for entry in entries}
-        if whole:
+        if complete:
             for gw, switch in self.switches.items():
                 switch.listed = switch.listed and gw in listed
         for entry in entries:
@@ -215,8 +215,8 @@
         switch.listed = True
 
     def batch_received(self, batch: Batch) -> None:
-        for offset, whole, entries in events_after(self.last_offset, batch):
-            self._apply_event(offset, whole, entries)
+        for offset, complete, entries in events_after(self.last_offset, batch):
+            self._apply_event(offset, complete, entries)
 
     # --- timer ---
 
--- a/gingergap/standins/checker.py
+++ b/gingergap/standins/checker.py
@@ -339,7 +339,7 @@
             verdict.excused += 1
             return
         if any(dialog.at <= at <= min(deadline, first) for at in self.stops.get(dialog.sender, ())):
-            return  # the sender has stopped, so an answer may have reached nobody that could capture it
+            return  # the sender has stopped, so an answer may have reached no process that could capture it
         if not finals and self.last_at < deadline:
             return  # the capture ends before the time limit
         verdict.judged[1] += 1
--- a/gingergap/trace/causes.py
+++ b/gingergap/trace/causes.py
@@ -35,7 +35,9 @@
 MIN_SLICE_FAILURES = 2  # a single failure may be chance
 MIN_STRETCH_FAILURES = 4
 MAX_GOOD_SLICES = 2  # good slices within a stretch that do not end it
-OVERTAKEN_SHARE = 0.15  # of a destination's failed legs: none are overtaken where answers are slow or nobody is there
+OVERTAKEN_SHARE = (
+    0.15  # of a destination's failed legs: none are overtaken where answers are slow or the destination is unreachable
+)
 MIN_OVERTAKEN = 2
 MAX_OTHERS_RATIO = 0.25  # failures per dialog of the other destinations to those of the worst, if it alone is the cause
 LISTING_TAIL = 60_000  # the list may announce a start up to six seconds after the stretch that it explains
