--- a/gingergap/service/calls.py
+++ b/gingergap/service/calls.py
@@ -46,11 +46,11 @@
         diagnostics: Diagnostics | None = None,
     ) -> None:
         self.wire, self.diagnostics = wire, diagnostics
-        facts = SettingsReader(settings, "settings")
-        own_exchange, proxies, self.traffic_types, controller_options = controller_arguments(facts)
-        self.type_indices = {str(lane.get("Name", index)): index for index, lane in enumerate(facts.get("Lanes", list))}
-        self.max_circuits = facts.section("Specifics").get("ClassWidth", list, [])  # of one call, by traffic type
-        self.max_open = facts.section("Ceilings").get("OpenCap", int, 20_000)
+        settings_reader = SettingsReader(settings, "settings")
+        own_exchange, proxies, self.traffic_types, controller_options = controller_arguments(settings_reader)
+        self.type_indices = {str(lane.get("Name", index)): index for index, lane in enumerate(settings_reader.get("Lanes", list))}
+        self.max_circuits = settings_reader.section("Specifics").get("ClassWidth", list, [])  # of one call, by traffic type
+        self.max_open = settings_reader.section("Ceilings").get("OpenCap", int, 20_000)
         self.switch_ids: list[str] = []  # by gw
         self.gw_of: dict[str, int] = {}  # by switch id
         self.exchange_numbers: dict[int, int] = {}  # by gw
@@ -192,7 +192,7 @@
             self.ended_set_ups.add(now, id, EndOfSetUp.GIVEN_UP, conn)
 
     def _refuse_at_once(self, conn: Conn, id: str, reason: str, cause: int, wait: int) -> None:
-        """Refuse a set-up that the controller has not been told of. `wait`: milliseconds."""
+        """Refuse a set-up that has not been passed to the controller. `wait`: milliseconds."""
         self.increment(f"refused: {reason}")
         self.wire.log_call("set-up-refused", id, why=reason)
         self.wire.send_to_caller(conn, json_lines.encode_release(id, cause, wait))
@@ -289,7 +289,9 @@
         self.now = now
         for call in list(self.by_conn.get(conn, {}).values()):
             cause = ABORTED if call.forwarded else DECLINED
-            self.wire.log_call("set-up-failed" if call.forwarded else "set-up-refused", call.id, why="its connection is spoilt")
+            self.wire.log_call(
+                "set-up-failed" if call.forwarded else "set-up-refused", call.id, why="invalid line on its connection"
+            )
             self.wire.send_to_caller(conn, json_lines.encode_release(call.id, cause))
             self._give_up(call, EndOfSetUp.ANSWERED)
         self._report_leg_ends()
@@ -304,7 +306,7 @@
         self._report_leg_ends()
 
     def _give_up(self, call: Call, reason: EndOfSetUp) -> None:
-        """End a set-up that nobody waits for. Its leg is cancelled without being counted against the destination, since no
+        """End a set-up whose caller no longer waits. Its leg is cancelled without being counted against the destination, since no
         failure of it is known."""
         if call.finished:
             return
@@ -327,7 +329,7 @@
                 self._send_invite_once_read(call)
 
     def link_lost(self, now: int, link: Link, was_up: bool) -> None:
-        """A connection has ended, or could not be made. Legs that were sent on it are in doubt; the others never ran."""
+        """A connection has ended, or could not be made. Legs that were sent on it are in doubt; the others were never sent."""
         self.now = now
         for call in list(self.by_link.get(link, {}).values()):
             self.increment("legs cut with their connection" if was_up else "legs to nobody")
@@ -491,8 +493,8 @@
             self.wire.send_release(call.conn, json_lines.encode_release(call.id, ABORTED))
             self._end_call(call, LegEnd.CUT)
 
-    def exchange_list_received(self, now: int, whole: bool, entries: list[tuple[str, int, GwState, int]]) -> None:
-        """Changes of the exchange list, or (`whole`) all of it: switch id, exchange number, state, start (0: long ago)."""
+    def exchange_list_received(self, now: int, complete: bool, entries: list[tuple[str, int, GwState, int]]) -> None:
+        """Changes of the exchange list, or (`complete`) all of it: switch id, exchange number, state, start (0: long ago)."""
         self.now = now
         list_entries = []
         for id, number, state, started in entries:
@@ -509,7 +511,7 @@
             # A switch that has restarted has lost its calls, and may never report their end.
             if started > 0:
                 self._cut_calls(gw, [call for call in self.established.get(gw, {}).values() if call.sent_at < started])
-        self.controller.exchange_list_received(now, list_entries, whole)
+        self.controller.exchange_list_received(now, list_entries, complete)
         self._drop_unsent_legs()
         self._report_leg_ends()
 
