--- a/gingergap/service/calls.py
+++ b/gingergap/service/calls.py
@@ -46,11 +46,11 @@
         diagnostics: Diagnostics | None = None,
     ) -> None:
         self.wire, self.diagnostics = wire, diagnostics
-        facts = SettingsReader(settings, "settings")
-        own_exchange, proxies, self.traffic_types, controller_options = controller_arguments(facts)
-        self.type_indices = {str(lane.get("Name", index)): index for index, lane in enumerate(facts.get("Lanes", list))}
-        self.max_circuits = facts.section("Specifics").get("ClassWidth", list, [])  # of one call, by traffic type
-        self.max_open = facts.section("Ceilings").get("OpenCap", int, 20_000)
+        reader = SettingsReader(settings, "settings")
+        own_exchange, proxies, self.traffic_types, controller_options = controller_arguments(reader)
+        self.type_indices = {str(lane.get("Name", index)): index for index, lane in enumerate(reader.get("Lanes", list))}
+        self.max_circuits = reader.section("Specifics").get("ClassWidth", list, [])  # of one call, by traffic type
+        self.max_open = reader.section("Ceilings").get("OpenCap", int, 20_000)
         self.switch_ids: list[str] = []  # by gw
         self.gw_of: dict[str, int] = {}  # by switch id
         self.exchange_numbers: dict[int, int] = {}  # by gw
--- a/gingergap/service/configuration.py
+++ b/gingergap/service/configuration.py
@@ -22,11 +22,11 @@
     settings: dict[str, Any]
 
 
-def _address(facts: SettingsReader, field: str) -> tuple[str, int]:
+def _address(reader: SettingsReader, field: str) -> tuple[str, int]:
     try:
-        return parse_address(facts.get(field, str))
+        return parse_address(reader.get(field, str))
     except ValueError as error:
-        raise BadFieldError(f"field {facts.path}.{field}: {error}") from None
+        raise BadFieldError(f"field {reader.path}.{field}: {error}") from None
 
 
 def read_configuration(path: Path) -> Configuration:
@@ -41,20 +41,26 @@
         raise BadFieldError("is not valid JSON") from None
     if not isinstance(values, dict):
         raise BadFieldError("is no object")
-    facts = SettingsReader(values, "config")
+    reader = SettingsReader(values, "config")
     try:
-        seed = int(facts.get("seed", str), 16)
+        seed = int(reader.get("seed", str), 16)
     except ValueError:
         raise BadFieldError("field config.seed is not a hexadecimal number") from None
     try:
-        known = parse_known_batch(facts.get("known", dict, {"offset": 0, "batch": []}))
+        known = parse_known_batch(reader.get("known", dict, {"offset": 0, "batch": []}))
     except ValueError as error:
         raise BadFieldError(f"config: {error}") from None
-    sockets = facts.section("limits").get("sockets", int, 256)
+    sockets = reader.section("limits").get("sockets", int, 256)
     if sockets < 32:
         raise BadFieldError("field config.limits.sockets is below the minimum of 32")
     return Configuration(
-        facts.get("name", str), _address(facts, "listen"), _address(facts, "bus"), seed, sockets, known, facts.get("settings", dict)
+        reader.get("name", str),
+        _address(reader, "listen"),
+        _address(reader, "bus"),
+        seed,
+        sockets,
+        known,
+        reader.get("settings", dict),
     )
 
 
--- a/gingergap/switch_protocol/sip_messages.py
+++ b/gingergap/switch_protocol/sip_messages.py
@@ -77,8 +77,8 @@
                 if message.body and SDP_LINE_PATTERN.match(self.framer.buffer):
                     raise BadMessageError("the session description is longer than Content-Length", 400, message)
                 self._dispatch(message)
-        held = self.framer.buffer
-        if held and not 65 <= held[0] <= 90:
+        rest = self.framer.buffer
+        if rest and not 65 <= rest[0] <= 90:
             raise BadMessageError("the bytes after the message do not begin another message", 0)
 
     def _dispatch(self, message: Message) -> None:
