--- a/gingergap/trace/cut.py
+++ b/gingergap/trace/cut.py
@@ -49,7 +49,7 @@
             focus.add((timeline.source, timeline.dialog))
             first, last = min(first, timeline.arrived_at), max(last, timeline.last_record_at)
     if not focus:
-        raise BadTraceError(f"{trace.name}: nothing of that in it")
+        raise BadTraceError(f"{trace.name}: none of its dialogs matches")
     return Selection(max(low, first), min(high, last), frozenset(focus))
 
 
--- a/gingergap/trace/format.py
+++ b/gingergap/trace/format.py
@@ -223,11 +223,11 @@
             raise BadTraceError(f"{path}: {error.strerror}") from None
         if self.file.read(len(MAGIC)) != MAGIC:
             self.file.close()
-            raise BadTraceError(f"{path}: no trace file")
+            raise BadTraceError(f"{path}: not a trace file")
         first = self._read_block()
         if first is None or first.kind != HEADER:
             self.file.close()
-            raise BadTraceError(f"{path}: broken before its header")
+            raise BadTraceError(f"{path}: damaged before the end of its header")
         try:
             self.version = version = msgspec.msgpack.decode(first.payload)["format"]
             if version not in SUMMARY_STRUCTS:
--- a/gingergap/trace/merge.py
+++ b/gingergap/trace/merge.py
@@ -234,5 +234,5 @@
 def _time_span(trace: Trace) -> tuple[int, int]:
     locations = trace.block_locations()
     if not locations:
-        raise BadTraceError(f"{trace.name}: nothing in it")
+        raise BadTraceError(f"{trace.name}: contains no records")
     return locations[0].summary.first_time, locations[-1].summary.last_time
--- a/gingergap/trace/wire_capture.py
+++ b/gingergap/trace/wire_capture.py
@@ -57,7 +57,7 @@
                     batch = Batch(line[3:].partition(",")[0], line.startswith(">>"), number + 1, [])
                 elif line.strip():
                     if batch is None:
-                        raise BadTraceError(f"{path}: line {number}: no recorded wire")
+                        raise BadTraceError(f"{path}: line {number}: not a wire capture")
                     batch.lines.append(line)
     except OSError as error:
         raise BadTraceError(f"{path}: {error.strerror}") from None
@@ -181,7 +181,7 @@
             proxy.writer.close()
             written.append((proxy.writer.path, proxy.writer.record_count))
     if not written:
-        raise BadTraceError(f"{path}: no proxy was started on that wire")
+        raise BadTraceError(f"{path}: no proxy was started in this capture")
     return ConversionResult(sorted(written), batches, replies, different, first_difference)
 
 
--- a/tests/test_trace_tap.py
+++ b/tests/test_trace_tap.py
@@ -78,7 +78,7 @@
 @pytest.mark.parametrize(
     ("text", "message"),
     [
-        ("not a wire\n", "line 1: no recorded wire"),
+        ("not a wire\n", "line 1: not a wire capture"),
         (">> process 0, 3 bytes\n{}\n", "line 2"),
         (">> process 0, 3 bytes\n" + json.dumps(TICK) + "\n" + json.dumps(KNOCK) + "\n", "line 3"),
         (">> process 0, 3 bytes\n" + json.dumps(TICK) + "\n<< process 0, 4 bytes\nnot JSON\n", "line 4"),
--- a/tests/test_trace_tools.py
+++ b/tests/test_trace_tools.py
@@ -140,7 +140,7 @@
     (bare,) = open_traces([tmp_path / "far.trace"])
     dialogs = {entry.record[trace_format.DIALOG_FIELD[entry.record[0]]] for entry in bare.entries()}
     assert {(0, dialog) for dialog in dialogs} == expected and writer.record_count < sum(1 for _ in long_trace.entries())
-    with pytest.raises(BadTraceError, match="nothing of that"):
+    with pytest.raises(BadTraceError, match="none of its dialogs matches"):
         resolve_selection(long_trace, None, None, frozenset({10**6}), None)
     with pytest.raises(BadTraceError, match="nothing in that window"):
         cut(long_trace, resolve_selection(long_trace, 1 << 40, None, frozenset(), None), tmp_path / "none.trace")
