--- a/gingergap/metrics/calls.py
+++ b/gingergap/metrics/calls.py
@@ -20,7 +20,7 @@
         self.legs = Counter("gingergap_legs", "Legs by exchange and end", ("exchange", "end"), registry=self.registry)
         self.setup_seconds = Histogram(
             "gingergap_set_up_seconds",
-            "Time from arrival to establishment",
+            "From arrival to standing",
             ("type", "way"),
             buckets=BUCKETS,
             registry=self.registry,
